--- a/src/agatethread/datapath/_answers.py
+++ b/src/agatethread/datapath/_answers.py
@@ -1,18 +1,16 @@
-"""What callers' packets show of the answers of backend servers.
-
-The load that this answers: servers that still answer, but several times slower than
-the others, while one entry instance sees an answer of each only every few seconds. It
-judges each answer by what is usual for its route, and tells sums; control instances put
-those of all entry instances together.
-
-An answer counts as slow when it takes a multiple of the route's usual time, or when its
-request has waited that long already. It counts as failed when the caller ends the flow
-without one, asks another server since the opening went unanswered, or gets far fewer
-bytes than usual, as a refusal has. What can't be seen from callers' packets: the status
-of an answer, so an error as long as a usual answer; a caller that is back at once on a
-new port, whose packets pass another instance; and whether an acknowledgement was held
-back until the caller's next request, so an answer that is acknowledged with one is not
-judged by its time.
+"""Measures the answers of backend servers from callers' packets.
+
+Handles backend servers that answer several times slower than the others while each
+entry instance sees only a few of their answers. Each answer is compared with the usual
+one of its route, and sums are sent to control instances, which pool those of all entry
+instances.
+
+An answer is slow when it takes a multiple of the route's usual time, or when its
+request has waited that long. It has failed when the caller ends the flow without one,
+retries the opening at another server, or receives far fewer bytes than usual. Not
+visible are the status of an answer, a caller that retries at once from a new port
+through another instance, and the time of an answer that is acknowledged with the
+caller's next request only.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,29 +20,27 @@
 from agatethread.datapath._packets import FlowKey
 from agatethread.wire.registry_pb2 import AnswerSum, AnswerSums
 
-#: An answer is slow from so many times what is usual on: work that varies by half stays
-#: below, and callers who want it within several times the usual see it late soon.
+#: Multiple of the usual time; above the ordinary variation of work.
 _SLOW_FACTOR = 3.0
-#: Whatever is usual: below this share of what callers want nobody minds.
-_LEAST_AIM_SHARE = 0.25
-#: The same where nobody has said what callers want: no more than a packet sent again.
-_LEAST_SLOW_S = 0.1
-#: An answer of less than this share of the usual bytes is a refusal, or broken off.
-_SHORT_SHARE = 0.25
-#: Answers on a route before any is judged by them.
-_LEAST_ANSWERS = 5
-#: A median moves by such a part with each answer: a route that turned slower is known
-#: for it after some twenty.
-_STEP = 0.05
-_FIRST_STEP = 0.5
-#: Routes whose usual answers are known: the busiest of a table of 1,600 in any hour.
-_MOST_ROUTES = 4_096
-#: Sums that were due this long ago tell how slow this instance itself was.
-_LATE_S = 0.5
-
-
-class _Median:
-    """A running median of positive values, which a few long ones do not move."""
+#: No answer is slow below this share of the aim.
+_MIN_SLOW_AIM_RATIO = 0.25
+#: Lower bound without an aim; allows for one retransmitted packet.
+_MIN_SLOW_S = 0.1
+#: Below this share of the usual bytes, an answer is a refusal or incomplete.
+_SHORT_ANSWER_RATIO = 0.25
+#: Answers of a route that its baseline needs.
+_MIN_ANSWERS = 5
+#: Largest change of a median's logarithm for one answer.
+_MEDIAN_STEP = 0.05
+_FIRST_MEDIAN_STEP = 0.5
+#: Routes with a baseline; more than the busy ones of a large table.
+_MAX_ROUTES = 4_096
+#: Interval between collections that shows that this instance was delayed.
+_DELAYED_COLLECTION_S = 0.5
+
+
+class _RunningMedian:
+    """A running median of positive values, robust against a few large ones."""
 
     __slots__ = ("count", "_log")
 
@@ -58,147 +54,144 @@
         if self.count == 1:
             self._log = new
             return
-        step = max(_STEP, _FIRST_STEP / self.count)
+        step = max(_MEDIAN_STEP, _FIRST_MEDIAN_STEP / self.count)
         self._log += min(step, max(-step, new - self._log))
 
     def get(self) -> float:
         return exp(self._log)
 
 
-class _Usual:
-    """What is usual on a route."""
+class _RouteBaseline:
+    """The usual answer of a route."""
 
     __slots__ = ("answer_bytes", "answer_s")
 
     def __init__(self) -> None:
-        self.answer_s = _Median()
-        self.answer_bytes = _Median()
+        self.answer_s = _RunningMedian()
+        self.answer_bytes = _RunningMedian()
 
     @property
     def is_known(self) -> bool:
-        return self.answer_s.count >= _LEAST_ANSWERS
+        return self.answer_s.count >= _MIN_ANSWERS
 
 
-class Waiting:
-    """A request whose answer has not been seen yet."""
+class PendingRequest:
+    """A request without an answer so far."""
 
-    __slots__ = ("asked_s", "backend", "is_told")
+    __slots__ = ("backend", "is_counted", "requested_s")
 
-    def __init__(self, backend: Backend, asked_s: float):
+    def __init__(self, backend: Backend, requested_s: float):
         self.backend = backend
-        self.asked_s = asked_s
-        #: Whether it was counted as slow already.
-        self.is_told = False
+        self.requested_s = requested_s
+        #: Whether it has been counted as slow.
+        self.is_counted = False
 
 
-def slow_after_s(usual_s: float, aim_s: float) -> float:
-    """Tell from when on an answer is slow.
+def slow_threshold_s(usual_s: float, aim_s: float) -> float:
+    """Return the time from which an answer is slow.
 
     Parameters
     ----------
     usual_s : float
         Usual time on its route.
     aim_s : float
-        Within which callers want it; infinite if that is not known.
+        Time in which callers want it; infinite if unknown.
 
     Returns
     -------
     float
-        Time from the request; never more than callers want, so that all answers of a
-        service that is far too slow are alike.
+        Time from the request, at most the aim.
     """
-    least_s = _LEAST_SLOW_S if aim_s == inf else _LEAST_AIM_SHARE * aim_s
-    return min(aim_s, max(least_s, _SLOW_FACTOR * usual_s))
+    min_s = _MIN_SLOW_S if aim_s == inf else _MIN_SLOW_AIM_RATIO * aim_s
+    return min(aim_s, max(min_s, _SLOW_FACTOR * usual_s))
 
 
 class AnswerWatch:
-    """Sums of answers for each run, since they were told last.
+    """Counts the answers of each run between two collections.
 
     Parameters
     ----------
     aim_of : callable
-        Tells within how many seconds callers of a host and port want an answer.
+        Returns the seconds in which callers of a host and port want an answer.
     now_s : float
         Present time.
     """
 
     def __init__(self, aim_of: Callable[[int, int], float], now_s: float):
         self._aim_of = aim_of
-        self._usual: dict[tuple[int, int], _Usual] = {}
-        self._waiting: dict[FlowKey, Waiting] = {}
+        self._baselines: dict[tuple[int, int], _RouteBaseline] = {}
+        self._pending: dict[FlowKey, PendingRequest] = {}
         self._sums: dict[Backend, AnswerSum] = {}
         self._collected_s = now_s
 
-    # -- what is seen -------------------------------------------------------------
-
     def ask(self, key: FlowKey, backend: Backend, now_s: float) -> None:
-        """Note that a caller sends a request on an open flow.
+        """Record a request that a caller sends on an open flow.
 
         Parameters
         ----------
         key : FlowKey
             The flow.
         backend : Backend
-            The run that holds it.
+            The run that serves the flow.
         now_s : float
             Present time.
         """
-        self._waiting[key] = Waiting(backend, now_s)
+        self._pending[key] = PendingRequest(backend, now_s)
 
     def answer(
         self, key: FlowKey, answer_bytes: int, is_prompt: bool, now_s: float
     ) -> None:
-        """Note that a caller has its answer, or the beginning of it.
+        """Record that a caller acknowledges an answer, or its beginning.
 
         Parameters
         ----------
         key : FlowKey
             The flow.
         answer_bytes : int
-            What it acknowledges newly.
+            Newly acknowledged bytes.
         is_prompt : bool
-            Whether it says so at once: with no request of its own.
+            Whether the acknowledgement is immediate: without another request.
         now_s : float
             Present time.
         """
-        waiting = self._waiting.pop(key, None)
-        if waiting is None:
+        pending = self._pending.pop(key, None)
+        if pending is None:
             return
-        usual = self._usual_of(key)
-        took_s = now_s - waiting.asked_s
-        if not waiting.is_told and usual.is_known:
-            is_slow = took_s >= self._slow_after_s(key, usual)
-            is_short = answer_bytes < _SHORT_SHARE * usual.answer_bytes.get()
+        baseline = self._baseline_of(key)
+        took_s = now_s - pending.requested_s
+        if not pending.is_counted and baseline.is_known:
+            is_slow = took_s >= self._slow_threshold_s(key, baseline)
+            is_short = answer_bytes < _SHORT_ANSWER_RATIO * baseline.answer_bytes.get()
             if is_prompt or not is_slow:
-                self._count(waiting.backend, slow=is_slow, failed=is_short)
+                self._count(pending.backend, slow=is_slow, failed=is_short)
         if is_prompt:
-            usual.answer_s.add(took_s)
-            usual.answer_bytes.add(answer_bytes)
+            baseline.answer_s.add(took_s)
+            baseline.answer_bytes.add(answer_bytes)
 
     def end(self, key: FlowKey) -> None:
-        """Note that a flow is over; a request that waits on it has failed.
+        """Record the end of a flow; a request without an answer has failed.
 
         Parameters
         ----------
         key : FlowKey
             The flow.
         """
-        waiting = self._waiting.pop(key, None)
-        if waiting is not None and not waiting.is_told:
-            self._count(waiting.backend, failed=True)
+        pending = self._pending.pop(key, None)
+        if pending is not None and not pending.is_counted:
+            self._count(pending.backend, failed=True)
 
     def forget(self, key: FlowKey) -> None:
-        """Forget a request whose answer won't be seen here.
+        """Delete a request whose answer is not visible to this instance.
 
         Parameters
         ----------
         key : FlowKey
             Its flow.
         """
-        self._waiting.pop(key, None)
+        self._pending.pop(key, None)
 
     def leave(self, backend: Backend) -> None:
-        """Note that an opening goes to another run, since this one did not answer it.
+        """Record that an opening is retried at another run for lack of an answer.
 
         Parameters
         ----------
@@ -207,34 +200,34 @@
         """
         self._count(backend, failed=True)
 
-    def _usual_of(self, key: FlowKey) -> _Usual:
-        usual = self._usual.get((key.host, key.port))
-        if usual is None:
-            if len(self._usual) >= _MOST_ROUTES:
-                self._usual.clear()
-            usual = self._usual[key.host, key.port] = _Usual()
-        return usual
+    def _baseline_of(self, key: FlowKey) -> _RouteBaseline:
+        baseline = self._baselines.get((key.host, key.port))
+        if baseline is None:
+            if len(self._baselines) >= _MAX_ROUTES:
+                self._baselines.clear()
+            baseline = self._baselines[key.host, key.port] = _RouteBaseline()
+        return baseline
 
-    def _slow_after_s(self, key: FlowKey, usual: _Usual) -> float:
+    def _slow_threshold_s(self, key: FlowKey, baseline: _RouteBaseline) -> float:
         aim_s = self._aim_of(key.host, key.port)
-        return slow_after_s(usual.answer_s.get(), aim_s)
+        return slow_threshold_s(baseline.answer_s.get(), aim_s)
 
     def _count(
         self, backend: Backend, slow: bool = False, failed: bool = False
     ) -> None:
-        one = self._sums.get(backend)
-        if one is None:
-            one = self._sums[backend] = AnswerSum(label=backend.label)
-        one.answers += 1
+        answer_sum = self._sums.get(backend)
+        if answer_sum is None:
+            answer_sum = self._sums[backend] = AnswerSum(label=backend.label)
+        answer_sum.answers += 1
         if slow:
-            one.slow += 1
+            answer_sum.slow += 1
         elif failed:
-            one.failed += 1
-
-    # -- what is told -------------------------------------------------------------
+            answer_sum.failed += 1
 
     def collect(self, now_s: float) -> AnswerSums | None:
-        """Hand out what was seen since the last call; to be called each 0.2 s.
+        """Return the sums since the last call, and reset them.
+
+        To be called every 0.2 s.
 
         Parameters
         ----------
@@ -244,41 +237,42 @@
         Returns
         -------
         AnswerSums or None
-            None if there is nothing to tell.
+            None if there are no answers to report.
         """
-        was_slow_itself = now_s - self._collected_s >= _LATE_S
+        was_delayed = now_s - self._collected_s >= _DELAYED_COLLECTION_S
         self._collected_s = now_s
-        if was_slow_itself:
-            # What came meanwhile was read late, and says nothing of backend servers.
+        if was_delayed:
+            # Packets were read late, so their times do not measure backend servers.
             self._sums.clear()
-            self._waiting.clear()
+            self._pending.clear()
             return None
-        self._count_waiting(now_s)
+        self._count_pending(now_s)
         if not self._sums:
             return None
         sums = AnswerSums(runs=self._sums.values())
         self._sums.clear()
         return sums
 
-    def _count_waiting(self, now_s: float) -> None:
-        for key, waiting in self._waiting.items():
-            if waiting.is_told:
+    def _count_pending(self, now_s: float) -> None:
+        for key, pending in self._pending.items():
+            if pending.is_counted:
                 continue
-            usual = self._usual_of(key)
-            if not usual.is_known:
+            baseline = self._baseline_of(key)
+            if not baseline.is_known:
                 continue
-            if now_s - waiting.asked_s >= self._slow_after_s(key, usual):
-                waiting.is_told = True
-                self._count(waiting.backend, slow=True)
-
-    # -- state --------------------------------------------------------------------
+            if now_s - pending.requested_s >= self._slow_threshold_s(key, baseline):
+                pending.is_counted = True
+                self._count(pending.backend, slow=True)
 
-    def usual_s(self) -> Iterable[tuple[tuple[int, int], float]]:
-        """List what is usual on each route.
+    def usual_answer_s(self) -> Iterable[tuple[tuple[int, int], float]]:
+        """Return the usual time of an answer on each route.
 
         Returns
         -------
         iterable of tuple of ((int, int), float)
-            Host and port, and the usual time of an answer in seconds.
+            Host and port, and seconds.
         """
-        return [(route, usual.answer_s.get()) for route, usual in self._usual.items()]
+        return [
+            (route, baseline.answer_s.get())
+            for route, baseline in self._baselines.items()
+        ]
--- a/src/agatethread/datapath/_dispatching.py
+++ b/src/agatethread/datapath/_dispatching.py
@@ -1,14 +1,9 @@
-"""Places the openings of a failure domain on some of its backend servers.
+"""Places openings on the backend servers of one dispatcher.
 
-The load that this answers: under pressure a backend server has a slot free for some
-milliseconds only, and none of dozens of instances knows when. One that places all
-flows of a server knows: it counts what it gave out and what it was told to have ended.
-What finds no place waits here, the more urgent first; it goes to another dispatcher,
-also of another failure domain, where that is clearly less busy, and is refused at once
-if nobody takes it in time.
-
-Nothing here has to survive: what an instance that starts does not know of ends within
-some usual answers, and callers' copies find another way.
+Handles pressure, when a backend server has a free slot for some milliseconds only: a
+single dispatcher places all flows of a server and counts its openings and their ends.
+Openings without a place wait in a queue by urgency, are handed over to a less busy
+dispatcher, also of another failure domain, or are refused if none has room in time.
 """
 
 from collections import defaultdict
@@ -30,8 +25,12 @@
 from agatethread.datapath._packets import FlowKey, Packet, pack_flow
 from agatethread.datapath._places import PlaceCounts
 from agatethread.datapath._placing import choose_place
-from agatethread.datapath._taken import Hands, Taken, hand_on
-from agatethread.datapath._telling import LOAD_PAUSE_S, SIGN_PAUSE_S, LoadTeller
+from agatethread.datapath._taken import OpeningActions, ReceivedOpening, make_handover
+from agatethread.datapath._telling import (
+    LIVENESS_INTERVAL_S,
+    LOAD_INTERVAL_S,
+    LoadReporter,
+)
 from agatethread.observability import Counters, Event, Histogram, make_logger
 from agatethread.routing import Route
 from agatethread.settings import DEFAULT_POLICIES, Policies
@@ -42,28 +41,27 @@
     WorkEnded,
 )
 
-#: Usual times that an answer may take: most take less than twice as long.
+#: Multiple of the usual time that an answer needs at most, in general.
 _ANSWER_TIMES = 2.0
-#: What comes again sooner than this is the same packet: a caller sends its first copy
-#: after 0.2 s, and uses its port anew later than that.
-_SAME_PACKET_S = 0.15
+#: Shorter than the time after which callers send copies or reuse ports.
+_DUPLICATE_WINDOW_S = 0.15
 
 log = make_logger("dispatcher")
 
 
 class OpeningDispatcher:
-    """Counts, lines and decisions of one dispatcher.
+    """Places, queues, hands over or refuses the openings of one dispatcher.
 
     Parameters
     ----------
     own_address : bytes
         Packed registry address of this instance.
     groups : ServerGroups
-        Which servers are its own.
+        Backend servers of each dispatcher.
     others : OtherDispatchers
-        Where else openings may be placed.
-    hands : Hands
-        What it does with an opening.
+        Other dispatchers that may place openings.
+    actions : OpeningActions
+        Forwards openings and sends messages.
     now_s : callable
         Monotonic clock.
     counters : Counters
@@ -77,7 +75,7 @@
         own_address: bytes,
         groups: ServerGroups,
         others: OtherDispatchers,
-        hands: Hands,
+        actions: OpeningActions,
         now_s: Callable[[], float],
         counters: Counters,
         policies: Policies = DEFAULT_POLICIES,
@@ -85,20 +83,20 @@
         self._own_address = own_address
         self._groups = groups
         self._others = others
-        self._hands = hands
+        self._actions = actions
         self._now_s = now_s
         self._counters = counters
         self._policies = policies
-        self._lines: dict[str, WaitingLine[Taken]] = {}
-        #: Of each service, so that no caller takes another's room there.
+        self._queues: dict[str, WaitingLine[ReceivedOpening]] = {}
+        #: By service, to limit each caller to its share.
         self._shares: defaultdict[str, CallerShares] = defaultdict(CallerShares)
         self._places = PlaceCounts(now_s)
-        self._teller = LoadTeller(self._load_of, hands.send, now_s)
-        #: How long callers of openings that were placed here had waited.
+        self._reporter = LoadReporter(self._load_of, actions.send, now_s)
+        #: Time that callers of the placed openings had waited.
         self.waited_s = Histogram()
 
-    def places_for(self, service: str) -> bool:
-        """Tell whether any server of a service is this instance's own.
+    def serves(self, service: str) -> bool:
+        """Return whether this dispatcher has a usable server of a service.
 
         Parameters
         ----------
@@ -108,26 +106,24 @@
         Returns
         -------
         bool
-            Whether one may take work.
+            Whether one accepts new flows.
         """
         return bool(self._servers_of(service))
 
     def waiting_count(self) -> int:
-        """Count the openings that wait for a place.
+        """Return the number of openings that wait for a place.
 
         Returns
         -------
         int
             Of all services.
         """
-        return sum(len(line) for line in self._lines.values())
-
-    # -- openings -----------------------------------------------------------------
+        return sum(len(queue) for queue in self._queues.values())
 
-    def take(
+    def receive(
         self, packet: Packet, route: Route, relayed: RelayedOpening, sender: bytes
     ) -> None:
-        """Place an opening, let it wait, hand it over or refuse it.
+        """Place, queue, hand over or refuse an opening.
 
         Parameters
         ----------
@@ -136,264 +132,269 @@
         route : Route
             Its route.
         relayed : RelayedOpening
-            What came with it.
+            The message that carried it.
         sender : bytes
             Packed address of the instance that relayed it.
         """
-        if not self._is_same_packet(packet):
-            self._take(packet, route, relayed, sender)
+        if not self._is_duplicate(packet):
+            self._receive(packet, route, relayed, sender)
         if sender != self._own_address:
-            self._answer(packet, relayed, sender)
+            self._reply(packet, relayed, sender)
 
-    def _answer(self, packet: Packet, relayed: RelayedOpening, sender: bytes) -> None:
-        """Tell the sender how busy this is, where it would act on that.
+    def _reply(self, packet: Packet, relayed: RelayedOpening, sender: bytes) -> None:
+        """Send this dispatcher's load to a sender that uses it.
 
-        One of the own failure domain takes silence for room.
+        Senders of the own failure domain assume room without a report.
         """
         is_placed = self._places.find(packet.key) is not None
         has_just_crossed = relayed.crossed and not relayed.hops
         if has_just_crossed or (relayed.origin and not is_placed):
-            self._teller.tell(relayed.service, sender, LOAD_PAUSE_S)
+            self._reporter.report(relayed.service, sender, LOAD_INTERVAL_S)
         elif not is_placed:
-            self._teller.tell(relayed.service, sender, SIGN_PAUSE_S)
+            self._reporter.report(relayed.service, sender, LIVENESS_INTERVAL_S)
 
-    def _is_same_packet(self, packet: Packet) -> bool:
-        """Tell whether this only repeats what has been placed just now."""
-        placed = self._places.find(packet.key)
-        if placed is None or packet.copy:
+    def _is_duplicate(self, packet: Packet) -> bool:
+        """Return whether a packet duplicates an opening that was just placed."""
+        placement = self._places.find(packet.key)
+        if placement is None or packet.copy:
             return False
-        return self._now_s() - placed.since_s < _SAME_PACKET_S
+        return self._now_s() - placement.since_s < _DUPLICATE_WINDOW_S
 
-    def _take(
+    def _receive(
         self, packet: Packet, route: Route, relayed: RelayedOpening, sender: bytes
     ) -> None:
-        if packet.key in self._line_of(relayed.service):
+        if packet.key in self._queue_of(relayed.service):
             # Copies of one opening take one place.
             return
         now_s = self._now_s()
         opening = Opening(
             urgency=route.urgency,
             asked_s=now_s - relayed.waited_ms / 1000,
-            # By then it must have its place for its answer to come in time.
-            aim_s=route.aim_s - _ANSWER_TIMES * self._places.usual_s(relayed.service),
+            # Leaves time for the answer after the opening is placed.
+            aim_s=route.aim_s
+            - _ANSWER_TIMES * self._places.place_time_s(relayed.service),
             timeout_s=route.timeout_s,
             caller=packet.key.caller,
         )
-        taken = Taken(packet, relayed, sender, opening)
-        address = self._others.find_given(packet.key, relayed.service)
+        received = ReceivedOpening(packet, relayed, sender, opening)
+        address = self._others.find_waiting_dispatcher(packet.key, relayed.service)
         if packet.copy and address is not None:
-            # It waits or is tried there, and the copy joins it.
-            self._hand_over(taken, address)
+            # The opening waits at that dispatcher, so its copy follows.
+            self._hand_over(received, address)
             return
-        self._others.take_given(packet.key)
-        self._decide(replace(taken, tried=self._take_back(packet, now_s)))
-
-    def _take_back(self, packet: Packet, now_s: float) -> tuple[Backend, ...]:
-        """Give back the place of an opening whose copy has come."""
-        placed = self._places.release(packet.key)
-        if placed is None or not packet.copy:
-            # Without a copy it was another flow from the same port.
+        self._others.pop_handover(packet.key)
+        self._decide(replace(received, tried=self._release_for_copy(packet, now_s)))
+
+    def _release_for_copy(self, packet: Packet, now_s: float) -> tuple[Backend, ...]:
+        """Release the place of an opening whose copy arrived; return the tried runs."""
+        placement = self._places.release(packet.key)
+        if placement is None or not packet.copy:
+            # A first opening belongs to another flow from the same port.
             return ()
-        placed.backend.fail(placed.since_s, now_s)
-        return (*placed.tried, placed.backend)
+        placement.backend.fail(placement.since_s, now_s)
+        return (*placement.tried, placement.backend)
 
-    def _rank(self, taken: Taken) -> Taken:
-        """Put it behind all others while its caller is over its share."""
-        shares, caller = self._shares[taken.service], taken.opening.caller
+    def _rank(self, received: ReceivedOpening) -> ReceivedOpening:
+        """Rank an opening, behind all others while its caller exceeds its share."""
+        shares, caller = self._shares[received.service], received.opening.caller
         is_over = shares.is_over(caller, self._now_s())
-        waiting_count = len(self._line_of(taken.service))
-        ranked = rank_opening(taken.opening, is_over, waiting_count)
-        return replace(taken, opening=ranked)
+        waiting_count = len(self._queue_of(received.service))
+        ranked = rank_opening(received.opening, is_over, waiting_count)
+        return replace(received, opening=ranked)
 
-    def _note_share(self, taken: Taken) -> None:
-        """Count it as taken on; whom a server did not answer has taken one place."""
-        if not taken.tried:
-            shares = self._shares[taken.service]
-            shares.note(taken.opening.caller, self._now_s())
+    def _record_share(self, received: ReceivedOpening) -> None:
+        """Count an opening towards its caller's share, once for all its copies."""
+        if not received.tried:
+            shares = self._shares[received.service]
+            shares.note(received.opening.caller, self._now_s())
 
-    def _decide(self, taken: Taken) -> None:
+    def _decide(self, received: ReceivedOpening) -> None:
         now_s = self._now_s()
-        line = self._line_of(taken.service)
-        taken = self._rank(taken)
-        placing = frozenset(self._groups.count_slots(taken.service))
-        # A run that let it come again is no place for it, while there are others.
-        load = self._load_of(taken.service, taken.tried)
-        outlet = self._others.find(taken.relayed, placing, not load.place_count)
+        queue = self._queue_of(received.service)
+        received = self._rank(received)
+        candidates = frozenset(self._groups.count_slots(received.service))
+        # Runs that did not answer the opening are left out.
+        load = self._load_of(received.service, received.tried)
+        target = self._others.choose_target(
+            received.relayed, candidates, not load.place_count
+        )
         verdict = judge_opening(
-            taken.opening,
+            received.opening,
             load,
-            line.count_ahead(taken.opening.rank),
+            queue.count_ahead(received.opening.rank),
             now_s,
-            outlet.elsewhere if outlet else None,
+            target.elsewhere if target else None,
         )
-        if verdict is Verdict.PLACE and self._place(taken):
-            self._note_share(taken)
+        if verdict is Verdict.PLACE and self._place(received):
+            self._record_share(received)
             return
-        if not load.place_count and outlet is None and self._place(taken):
-            # Nobody is known who answers, so a server that seems not to is tried.
+        if not load.place_count and target is None and self._place(received):
+            # No server is known to answer, so an unanswering one is tried.
             return
-        if verdict is Verdict.HAND_OVER and outlet is not None:
-            self._hand_over(taken, outlet.address)
+        if verdict is Verdict.HAND_OVER and target is not None:
+            self._hand_over(received, target.address)
             return
-        if verdict is Verdict.REFUSE or not self._push(taken):
-            self._refuse(taken)
-
-    def _push(self, taken: Taken) -> bool:
-        line = self._line_of(taken.service)
-        if not line.push(taken.opening, taken.packet.key, taken, self._now_s()):
+        if verdict is Verdict.REFUSE or not self._enqueue(received):
+            self._refuse(received)
+
+    def _enqueue(self, received: ReceivedOpening) -> bool:
+        queue = self._queue_of(received.service)
+        if not queue.push(
+            received.opening, received.packet.key, received, self._now_s()
+        ):
             return False
-        if not taken.opening.is_behind:
-            # Noted already here, else a burst would be before all who come after it.
-            self._note_share(taken)
+        if not received.opening.is_behind:
+            # Counted on arrival, so that a burst does not precede later callers.
+            self._record_share(received)
             self._counters["openings_waiting"] += 1
             return True
         self._counters["openings_behind"] += 1
-        flow = str(taken.packet.key)
-        log.info(Event.OPENING_BEHIND, flow=flow, service=taken.service)
+        flow = str(received.packet.key)
+        log.info(Event.OPENING_BEHIND, flow=flow, service=received.service)
         return True
 
-    def _place(self, taken: Taken) -> bool:
+    def _place(self, received: ReceivedOpening) -> bool:
         now_s = self._now_s()
         backend = choose_place(
-            self._servers_of(taken.service),
+            self._servers_of(received.service),
             self._places.in_progress,
             now_s,
-            taken.tried,
+            received.tried,
             self._policies,
         )
         if backend is None:
             return False
-        key = taken.packet.key
-        self._places.take(key, backend, taken.service, taken.tried, taken.sender)
-        waited_s = now_s - taken.opening.asked_s
+        key = received.packet.key
+        self._places.allocate(
+            key, backend, received.service, received.tried, received.sender
+        )
+        waited_s = now_s - received.opening.asked_s
         self.waited_s.record(waited_s)
-        self._counters[f"openings_dispatched_urgency_{taken.opening.urgency}"] += 1
+        self._counters[f"openings_dispatched_urgency_{received.opening.urgency}"] += 1
         backend.start_trial(now_s)
-        self._hands.forward(taken.packet, backend, taken.tried, waited_s)
+        self._actions.forward(received.packet, backend, received.tried, waited_s)
         return True
 
-    def _refuse(self, taken: Taken) -> None:
-        load = self._load_of(taken.service)
-        self._counters[f"openings_refused_urgency_{taken.opening.urgency}"] += 1
+    def _refuse(self, received: ReceivedOpening) -> None:
+        load = self._load_of(received.service)
+        self._counters[f"openings_refused_urgency_{received.opening.urgency}"] += 1
         log.info(
             Event.OPENING_REFUSED,
-            flow=str(taken.packet.key),
-            service=taken.service,
-            urgency=taken.opening.urgency,
-            waited_s=round(self._now_s() - taken.opening.asked_s, 3),
+            flow=str(received.packet.key),
+            service=received.service,
+            urgency=received.opening.urgency,
+            waited_s=round(self._now_s() - received.opening.asked_s, 3),
             waiting=load.waiting_count,
             places=load.place_count,
             place_time_s=round(load.place_time_s, 4),
         )
-        returned = ReturnedOpening(opening=taken.relayed, refused=True)
-        self._hands.send(RegistryMessage(returned=returned), taken.origin)
+        returned = ReturnedOpening(opening=received.relayed, refused=True)
+        self._actions.send(RegistryMessage(returned=returned), received.origin)
 
-    def _hand_over(self, taken: Taken, address: bytes) -> None:
-        waited_s = self._now_s() - taken.opening.asked_s
-        crosses = self._others.crosses_to(address)
-        self._others.note_given(taken.packet.key, taken.service, address)
+    def _hand_over(self, received: ReceivedOpening, address: bytes) -> None:
+        waited_s = self._now_s() - received.opening.asked_s
+        crosses = self._others.is_in_other_domain(address)
+        self._others.record_handover(received.packet.key, received.service, address)
         self._counters["openings_handed_over"] += 1
         log.info(
             Event.OPENING_HANDED_OVER,
-            flow=str(taken.packet.key),
-            service=taken.service,
+            flow=str(received.packet.key),
+            service=received.service,
             dispatcher=address.hex(),
             waited_s=round(waited_s, 3),
             crosses=crosses,
         )
-        version = self._hands.table_version()
-        relayed = hand_on(taken, crosses, waited_s, version)
-        self._hands.send(RegistryMessage(relayed=relayed), address)
-
-    # -- ends ---------------------------------------------------------------------
+        version = self._actions.table_version()
+        relayed = make_handover(received, crosses, waited_s, version)
+        self._actions.send(RegistryMessage(relayed=relayed), address)
 
     def on_end(self, key: FlowKey) -> None:
-        """Note that the request of an opening has been answered, or its flow is over.
+        """Release the place of an opening whose request was answered or flow ended.
 
         Parameters
         ----------
         key : FlowKey
-            Its flow; where the opening was handed over, that is told on.
+            Its flow; the end of a handed over opening is forwarded.
         """
-        address = self._others.take_given(key)
+        address = self._others.pop_handover(key)
         if address is not None:
             ended = WorkEnded(flows=[pack_flow(key)])
-            self._hands.send(RegistryMessage(ended=ended), address)
+            self._actions.send(RegistryMessage(ended=ended), address)
             return
-        placed = self._places.end(key)
-        if placed is None:
-            self._drop_waiting(key)
+        placement = self._places.end(key)
+        if placement is None:
+            self._remove_waiting(key)
             return
-        if placed.since_s >= placed.backend.unanswered_s:
-            # Its caller heard from the server; no packet that shows it passes here.
-            placed.backend.answer(self._now_s())
-        self._fill(placed.service)
-
-    def _drop_waiting(self, key: FlowKey) -> None:
-        """Free the place in line of a caller that has left."""
-        for line in self._lines.values():
-            line.discard(key)
-
-    def _fill(self, service: str) -> None:
-        """Place those who wait while there are places."""
-        line = self._line_of(service)
-        while line and self._load_of(service).free_count:
-            found = line.pop(self._now_s())
-            if found is None or not self._place(found):
+        if placement.since_s >= placement.backend.unanswered_s:
+            # The caller's packets, which show the answer, pass another instance.
+            placement.backend.answer(self._now_s())
+        self._place_waiting(placement.service)
+
+    def _remove_waiting(self, key: FlowKey) -> None:
+        """Remove the opening of a caller that ended its flow from the queues."""
+        for queue in self._queues.values():
+            queue.discard(key)
+
+    def _place_waiting(self, service: str) -> None:
+        """Place waiting openings while there are free places."""
+        queue = self._queue_of(service)
+        while queue and self._load_of(service).free_count:
+            received = queue.pop(self._now_s())
+            if received is None or not self._place(received):
                 return
-            if found.opening.is_behind:
-                self._note_share(found)
-
-    # -- time ---------------------------------------------------------------------
+            if received.opening.is_behind:
+                self._record_share(received)
 
     def tick(self) -> None:
-        """Refuse what can't be served any more; to be called some 20 times a second."""
+        """Refuse or place waiting openings; to be called about 20 times a second."""
         now_s = self._now_s()
-        for placed in self._places.give_up():
+        for placement in self._places.expire():
             self._counters["places_given_up"] += 1
-            placed.backend.fail(placed.since_s, now_s)
-        for service, line in list(self._lines.items()):
-            for taken in line.take_expired(now_s):
-                self._refuse(taken)
-            self._fill(service)
+            placement.backend.fail(placement.since_s, now_s)
+        for service, queue in list(self._queues.items()):
+            for received in queue.take_expired(now_s):
+                self._refuse(received)
+            self._place_waiting(service)
             if not self._load_of(service).place_count:
-                self._give_back(line)
-        for placed in self._places.list_aged(SIGN_PAUSE_S, 2 * SIGN_PAUSE_S):
-            # Else it would seem that this instance is gone where a server is.
-            self._teller.tell(placed.service, placed.sender, SIGN_PAUSE_S)
-        self._teller.tick()
-
-    def _give_back(self, line: "WaitingLine[Taken]") -> None:
-        """Let senders place those that wait for servers that are gone, or silent."""
-        while (taken := line.pop(self._now_s())) is not None:
+                self._return_waiting(queue)
+        for placement in self._places.list_in_age_range(
+            LIVENESS_INTERVAL_S, 2 * LIVENESS_INTERVAL_S
+        ):
+            # Shows that this instance is alive though the server does not answer.
+            self._reporter.report(
+                placement.service, placement.sender, LIVENESS_INTERVAL_S
+            )
+        self._reporter.tick()
+
+    def _return_waiting(self, queue: "WaitingLine[ReceivedOpening]") -> None:
+        """Return waiting openings to their senders when no server is reachable."""
+        while (received := queue.pop(self._now_s())) is not None:
             self._counters["openings_given_back"] += 1
-            returned = ReturnedOpening(opening=taken.relayed)
-            self._hands.send(RegistryMessage(returned=returned), taken.sender)
+            returned = ReturnedOpening(opening=received.relayed)
+            self._actions.send(RegistryMessage(returned=returned), received.sender)
 
-    def forget(self) -> None:
-        """Forget all openings, after a pause in which this instance did not run.
+    def reset(self) -> None:
+        """Delete all openings after a pause of this instance.
 
-        Their ends came meanwhile or never will, and copies found another way.
+        Their ends may be lost, and their copies were placed elsewhere.
         """
-        self._lines.clear()
+        self._queues.clear()
         self._places.clear()
 
-    # -- load ---------------------------------------------------------------------
-
-    def _line_of(self, service: str) -> "WaitingLine[Taken]":
-        line = self._lines.get(service)
-        if line is None:
-            line = self._lines[service] = WaitingLine()
-        return line
+    def _queue_of(self, service: str) -> "WaitingLine[ReceivedOpening]":
+        queue = self._queues.get(service)
+        if queue is None:
+            queue = self._queues[service] = WaitingLine()
+        return queue
 
     def _servers_of(self, service: str) -> Sequence[Backend]:
         return self._groups.usable(service, self._own_address)
 
     def _load_of(self, service: str, tried: Sequence[Backend] = ()) -> GroupLoad:
-        servers = [one for one in self._servers_of(service) if one not in tried]
-        return self._places.load(service, servers, len(self._line_of(service)))
+        servers = [run for run in self._servers_of(service) if run not in tried]
+        return self._places.measure_load(service, servers, len(self._queue_of(service)))
 
     def sweep(self) -> None:
-        """Forget what is over; to be called about once a second."""
+        """Delete outdated entries; to be called about once a second."""
         self._others.sweep()
-        self._teller.sweep()
+        self._reporter.sweep()
--- a/src/agatethread/datapath/_groups.py
+++ b/src/agatethread/datapath/_groups.py
@@ -7,32 +7,32 @@
 from agatethread.datapath._backend import Backend
 from agatethread.wire.registry_pb2 import Dispatchers
 
-#: How old the groups of a service may be: a server that joins is slow for seconds, and
-#: whether one may take work is looked up with each opening.
-_KEPT_S = 0.2
+#: Maximum age of a service's groups; servers join less often, and whether one accepts
+#: flows is checked for each opening.
+_GROUPS_VALIDITY_S = 0.2
 
 
 @dataclass(slots=True)
-class _Service:
-    made_s: float
+class _ServiceGroups:
+    created_s: float
     by_dispatcher: dict[bytes, tuple[Backend, ...]] = field(default_factory=dict)
 
 
 class ServerGroups:
-    """Backend servers of the own failure domain, shared out among its dispatchers.
+    """Assigns the backend servers of the own failure domain to its dispatchers.
 
-    All instances that know the same servers and dispatchers share them out alike, so
-    nobody has to be told. Where two differ for a moment, two dispatchers place on one
-    server, each by its own counts.
+    Instances that know the same servers and dispatchers assign them alike, without
+    messages. While two differ, two dispatchers may place on one server, each by its own
+    counts.
 
     Parameters
     ----------
     failure_domain : str
         Of this instance.
     runs_of : callable
-        Lists a service's runs, also those of other failure domains.
-    may_take : callable
-        Tells whether a run may be given a new flow.
+        Returns a service's runs, also those of other failure domains.
+    is_candidate : callable
+        Returns whether a run may receive a new flow.
     now_s : callable
         Monotonic clock.
     """
@@ -41,34 +41,34 @@
         self,
         failure_domain: str,
         runs_of: Callable[[str], Sequence[Backend]],
-        may_take: Callable[[Backend], bool],
+        is_candidate: Callable[[Backend], bool],
         now_s: Callable[[], float],
     ):
-        self._may_take = may_take
+        self._is_candidate = is_candidate
         self._failure_domain = failure_domain
         self._runs_of = runs_of
         self._now_s = now_s
-        self._services: dict[str, _Service] = {}
+        self._groups: dict[str, _ServiceGroups] = {}
         self.dispatchers: tuple[bytes, ...] = ()
         #: Entry instances of the failure domain that serve.
         self.entry_count = 0
 
-    def take(self, told: Dispatchers | None) -> None:
-        """Take who the dispatchers are.
+    def set_dispatchers(self, dispatchers: Dispatchers | None) -> None:
+        """Store the dispatchers.
 
         Parameters
         ----------
-        told : Dispatchers or None
-            Of the own failure domain; None if nobody tells.
+        dispatchers : Dispatchers or None
+            Those of the own failure domain; None if unknown.
         """
-        addresses = tuple(told.addresses) if told else ()
-        self.entry_count = told.entry_count if told else 0
+        addresses = tuple(dispatchers.addresses) if dispatchers else ()
+        self.entry_count = dispatchers.entry_count if dispatchers else 0
         if addresses != self.dispatchers:
             self.dispatchers = addresses
-            self._services.clear()
+            self._groups.clear()
 
-    def of_service(self, service: str) -> dict[bytes, tuple[Backend, ...]]:
-        """Tell each dispatcher's servers of a service.
+    def servers_by_dispatcher(self, service: str) -> dict[bytes, tuple[Backend, ...]]:
+        """Return each dispatcher's servers of a service.
 
         Parameters
         ----------
@@ -78,29 +78,29 @@
         Returns
         -------
         dict of bytes to tuple of Backend
-            By the dispatcher's packed address; some may be asked for no work.
+            By the dispatcher's packed address, also servers that accept no new flows.
         """
         now_s = self._now_s()
-        known = self._services.get(service)
-        if known is None or now_s - known.made_s > _KEPT_S:
-            known = self._services[service] = self._share_out(service, now_s)
-        return known.by_dispatcher
+        groups = self._groups.get(service)
+        if groups is None or now_s - groups.created_s > _GROUPS_VALIDITY_S:
+            groups = self._groups[service] = self._assign_servers(service, now_s)
+        return groups.by_dispatcher
 
-    def _share_out(self, service: str, now_s: float) -> _Service:
-        near = {
+    def _assign_servers(self, service: str, now_s: float) -> _ServiceGroups:
+        own_domain_servers = {
             backend.number: backend
             for backend in self._runs_of(service)
             if backend.failure_domain == self._failure_domain
         }
-        shares = share_out(sorted(near), self.dispatchers)
-        groups = {
-            dispatcher: tuple(near[number] for number in numbers)
+        shares = share_out(sorted(own_domain_servers), self.dispatchers)
+        by_dispatcher = {
+            dispatcher: tuple(own_domain_servers[number] for number in numbers)
             for dispatcher, numbers in shares.items()
         }
-        return _Service(now_s, groups)
+        return _ServiceGroups(now_s, by_dispatcher)
 
     def usable(self, service: str, dispatcher: bytes) -> list[Backend]:
-        """List the servers that a dispatcher may place flows on at present.
+        """Return the servers that a dispatcher may place flows on at present.
 
         Parameters
         ----------
@@ -114,11 +114,11 @@
         list of Backend
             Empty where there are none.
         """
-        group = self.of_service(service).get(dispatcher, ())
-        return [backend for backend in group if self._may_take(backend)]
+        group = self.servers_by_dispatcher(service).get(dispatcher, ())
+        return [backend for backend in group if self._is_candidate(backend)]
 
     def count_slots(self, service: str) -> dict[bytes, int]:
-        """Count the slots that each dispatcher can give out.
+        """Return the number of usable slots of each dispatcher.
 
         Parameters
         ----------
@@ -128,10 +128,10 @@
         Returns
         -------
         dict of bytes to int
-            By the dispatcher's packed address; without those that have none.
+            By the dispatcher's packed address; dispatchers without slots are left out.
         """
         counts = {
-            dispatcher: sum(one.slots for one in self.usable(service, dispatcher))
-            for dispatcher in self.of_service(service)
+            dispatcher: sum(server.slots for server in self.usable(service, dispatcher))
+            for dispatcher in self.servers_by_dispatcher(service)
         }
         return {dispatcher: count for dispatcher, count in counts.items() if count}
--- a/src/agatethread/datapath/_handing_over.py
+++ b/src/agatethread/datapath/_handing_over.py
@@ -1,10 +1,8 @@
-"""The other dispatchers: how busy they are, and what they were given.
+"""Chooses other dispatchers for openings, and records openings handed over to them.
 
-The load that this answers: the backend servers of one dispatcher are full while others'
-are not, by chance within a failure domain, or since callers of one domain want more
-than its servers bear. How much room there is changes within milliseconds, so a
-dispatcher asks by handing an opening over, is told the load in return, and acts on it
-for a moment.
+Handles uneven load, when the backend servers of one dispatcher are full while others
+have room. Load changes within milliseconds, so handing over an opening also probes the
+other dispatcher, whose load report is valid for a short time.
 """
 
 import random
@@ -16,52 +14,54 @@
 from agatethread.datapath._packets import FlowKey
 from agatethread.wire.registry_pb2 import DispatcherLoad, Dispatchers, RelayedOpening
 
-#: What was told is used for so long: work of some 20 ms changes it before news of it
-#: could come, and a few openings too many wait there as they would here.
-_LOAD_KEPT_S = 0.1
-#: Where no server answers it stays so for as long as such a server is left alone.
-_SILENT_KEPT_S = 0.5
-_SILENT_WAIT_S = 60.0
-#: Pause between two openings that find out how busy another failure domain is.
-_ASK_PAUSE_S = 0.02
-#: An opening that was handed over is remembered for so long, for its end to be told on.
-_REMEMBERED_S = 3.0
-#: Dispatchers of a failure domain that an opening is handed to at most, and those of
-#: the own one that were found busy lately after which all of it counts as busy.
-_MOST_HOPS = 2
-_ENOUGH_BUSY = 2
-#: The same where the servers at hand don't answer, so that staying helps nobody.
-_MOST_HOPS_FROM_SILENT = 5
+#: Validity of a load report; a few openings too many are queued at the target.
+_LOAD_VALIDITY_S = 0.1
+#: Validity of a report without reachable servers; as long as those are avoided.
+_UNREACHABLE_VALIDITY_S = 0.5
+#: Reported wait above which a dispatcher has no reachable server.
+_UNREACHABLE_WAIT_S = 60.0
+#: Minimum time between two openings that probe the load of other failure domains.
+_PROBE_INTERVAL_S = 0.02
+#: Retention of a handover, whose end is forwarded.
+_HANDOVER_RETENTION_S = 3.0
+#: Maximum hops within a failure domain, and the number of busy dispatchers from which
+#: all of the own failure domain counts as busy.
+_MAX_HOPS = 2
+_MIN_BUSY_COUNT = 2
+#: Maximum hops when none of the own servers is reachable.
+_MAX_HOPS_FROM_UNREACHABLE = 5
 
 
 @dataclass(frozen=True, slots=True)
 class _Load:
     wait_s: float
     is_free: bool
-    heard_s: float
-    #: Openings that wait there.
+    received_s: float
+    #: Openings that wait at the dispatcher.
     waiting_count: int
 
     @property
-    def is_silent(self) -> bool:
-        """Whether none of its servers answers."""
-        return self.wait_s > _SILENT_WAIT_S
+    def is_unreachable(self) -> bool:
+        """Whether none of its servers is reachable."""
+        return self.wait_s > _UNREACHABLE_WAIT_S
 
     @property
-    def used_until_s(self) -> float:
-        return self.heard_s + (_SILENT_KEPT_S if self.is_silent else _LOAD_KEPT_S)
+    def valid_until_s(self) -> float:
+        return self.received_s + (
+            _UNREACHABLE_VALIDITY_S if self.is_unreachable else _LOAD_VALIDITY_S
+        )
 
 
 @dataclass(frozen=True, slots=True)
-class Outlet:
-    """A dispatcher that may take an opening.
+class HandoverTarget:
+    """A dispatcher that an opening may be handed over to.
 
     Attributes
     ----------
     address : bytes
         Its packed address.
     elsewhere : Elsewhere
-        How long an opening waits there.
+        Expected wait of an opening.
     """
 
     address: bytes
@@ -69,7 +69,7 @@
 
 
 class OtherDispatchers:
-    """What a dispatcher knows of the others.
+    """Stores the loads of other dispatchers, and the openings handed over to them.
 
     Parameters
     ----------
@@ -87,117 +87,123 @@
         self._own_address = own_address
         self._failure_domain = failure_domain
         self._now_s = now_s
-        self._near: frozenset[bytes] = frozenset()
-        self._far: frozenset[bytes] = frozenset()
+        self._own_domain: frozenset[bytes] = frozenset()
+        self._other_domains: frozenset[bytes] = frozenset()
         self._loads: dict[tuple[str, bytes], _Load] = {}
-        self._asked_s: dict[str, float] = {}
-        self._given: dict[FlowKey, tuple[bytes, float]] = {}
+        self._probed_s: dict[str, float] = {}
+        self._handovers: dict[FlowKey, tuple[bytes, float]] = {}
 
-    def take(self, told: Mapping[str, Dispatchers]) -> None:
-        """Take who the dispatchers are.
+    def set_dispatchers(self, dispatchers: Mapping[str, Dispatchers]) -> None:
+        """Store the dispatchers.
 
         Parameters
         ----------
-        told : mapping of str to Dispatchers
+        dispatchers : mapping of str to Dispatchers
             By failure domain.
         """
-        near, far = set(), set()
-        for domain, one in told.items():
-            (near if domain == self._failure_domain else far).update(one.addresses)
-        self._near = frozenset(near - {self._own_address})
-        self._far = frozenset(far)
-        known = self._near | self._far
+        own_domain, other_domains = set(), set()
+        for domain, domain_dispatchers in dispatchers.items():
+            (own_domain if domain == self._failure_domain else other_domains).update(
+                domain_dispatchers.addresses
+            )
+        self._own_domain = frozenset(own_domain - {self._own_address})
+        self._other_domains = frozenset(other_domains)
+        addresses = self._own_domain | self._other_domains
         self._loads = {
-            key: load for key, load in self._loads.items() if key[1] in known
+            key: load for key, load in self._loads.items() if key[1] in addresses
         }
 
-    def on_load(self, told: DispatcherLoad, source: bytes) -> None:
-        """Take what a dispatcher tells of its load.
+    def on_load(self, load: DispatcherLoad, source: bytes) -> None:
+        """Store the load report of a dispatcher.
 
         Parameters
         ----------
-        told : DispatcherLoad
-            Its load.
+        load : DispatcherLoad
+            The report.
         source : bytes
             Its packed address.
         """
-        if source in self._near or source in self._far:
-            self._loads[told.service, source] = _Load(
-                told.wait_ms / 1000, bool(told.free), self._now_s(), told.waiting
+        if source in self._own_domain or source in self._other_domains:
+            self._loads[load.service, source] = _Load(
+                load.wait_ms / 1000, bool(load.free), self._now_s(), load.waiting
             )
 
-    # -- where to -----------------------------------------------------------------
-
-    def find(
+    def choose_target(
         self,
         relayed: RelayedOpening,
-        placing: frozenset[bytes],
-        is_silent: bool = False,
-    ) -> Outlet | None:
-        """Find the dispatcher that may take an opening soonest.
+        candidates: frozenset[bytes],
+        is_unreachable: bool = False,
+    ) -> HandoverTarget | None:
+        """Return the dispatcher that can place an opening soonest.
 
         Parameters
         ----------
         relayed : RelayedOpening
-            What came with the opening.
-        placing : frozenset of bytes
+            The message that carried the opening.
+        candidates : frozenset of bytes
             Dispatchers of the own failure domain that have servers of its service.
-        is_silent : bool, optional
-            Whether none of the servers at hand answers.
+        is_unreachable : bool, optional
+            Whether none of the own servers is reachable.
 
         Returns
         -------
-        Outlet or None
-            One that is not known now and then; None if the opening has been handed over
-            often enough, or nobody is known to be less busy.
+        HandoverTarget or None
+            At times one with unknown load, to probe it; None at the limit of hops, or
+            if none is known to be less busy.
         """
-        known = self._known_loads(relayed.service)
-        near = self._near & placing
-        most_hops = _MOST_HOPS_FROM_SILENT if is_silent else _MOST_HOPS
-        if relayed.hops < most_hops:
-            outlet = self._find_near(near, known)
-            if outlet is not None:
-                return outlet
+        loads = self._valid_loads(relayed.service)
+        own_candidates = self._own_domain & candidates
+        max_hops = _MAX_HOPS_FROM_UNREACHABLE if is_unreachable else _MAX_HOPS
+        if relayed.hops < max_hops:
+            target = self._choose_in_own_domain(own_candidates, loads)
+            if target is not None:
+                return target
         if not relayed.crossed:
-            outlet = self._find_far(relayed.service, known)
-            if outlet is not None:
-                return outlet
-        return _least_busy(near, known, False) if relayed.hops < most_hops else None
-
-    def _known_loads(self, service: str) -> dict[bytes, _Load]:
+            target = self._choose_in_other_domain(relayed.service, loads)
+            if target is not None:
+                return target
+        return (
+            _choose_least_busy(own_candidates, loads, False)
+            if relayed.hops < max_hops
+            else None
+        )
+
+    def _valid_loads(self, service: str) -> dict[bytes, _Load]:
         now_s = self._now_s()
         return {
             address: load
             for (name, address), load in self._loads.items()
-            if name == service and load.used_until_s >= now_s
+            if name == service and load.valid_until_s >= now_s
         }
 
     @staticmethod
-    def _find_near(
-        near: frozenset[bytes], known: Mapping[bytes, _Load]
-    ) -> Outlet | None:
-        """Find one of the own failure domain with room, or that nobody knows."""
-        heard = [address for address in sorted(near) if address in known]
-        free = [address for address in heard if known[address].is_free]
+    def _choose_in_own_domain(
+        own_candidates: frozenset[bytes], loads: Mapping[bytes, _Load]
+    ) -> HandoverTarget | None:
+        """Return one of the own failure domain with room or unknown load."""
+        reported = [address for address in sorted(own_candidates) if address in loads]
+        free = [address for address in reported if loads[address].is_free]
         if free:
-            return Outlet(random.choice(free), Elsewhere(0.0))
-        unknown = sorted(near.difference(heard))
-        busy = [address for address in heard if not known[address].is_silent]
-        if unknown and len(busy) < _ENOUGH_BUSY:
-            return Outlet(random.choice(unknown), Elsewhere(None))
+            return HandoverTarget(random.choice(free), Elsewhere(0.0))
+        unknown = sorted(own_candidates.difference(reported))
+        busy = [address for address in reported if not loads[address].is_unreachable]
+        if unknown and len(busy) < _MIN_BUSY_COUNT:
+            return HandoverTarget(random.choice(unknown), Elsewhere(None))
         return None
 
-    def _find_far(self, service: str, known: Mapping[bytes, _Load]) -> Outlet | None:
-        unknown = sorted(self._far - known.keys())
-        may_ask = self._now_s() - self._asked_s.get(service, -inf) >= _ASK_PAUSE_S
-        if unknown and may_ask:
-            return Outlet(random.choice(unknown), Elsewhere(None, crosses=True))
-        return _least_busy(self._far, known, True)
-
-    # -- what was given -----------------------------------------------------------
+    def _choose_in_other_domain(
+        self, service: str, loads: Mapping[bytes, _Load]
+    ) -> HandoverTarget | None:
+        unknown = sorted(self._other_domains - loads.keys())
+        may_probe = (
+            self._now_s() - self._probed_s.get(service, -inf) >= _PROBE_INTERVAL_S
+        )
+        if unknown and may_probe:
+            return HandoverTarget(random.choice(unknown), Elsewhere(None, crosses=True))
+        return _choose_least_busy(self._other_domains, loads, True)
 
-    def note_given(self, key: FlowKey, service: str, address: bytes) -> None:
-        """Note that an opening was handed over.
+    def record_handover(self, key: FlowKey, service: str, address: bytes) -> None:
+        """Record that an opening was handed over.
 
         Parameters
         ----------
@@ -206,15 +212,15 @@
         service : str
             Its service.
         address : bytes
-            Where it went.
+            Packed address of the dispatcher.
         """
         now_s = self._now_s()
-        if address in self._far:
-            self._asked_s[service] = now_s
-        self._given[key] = (address, now_s)
+        if address in self._other_domains:
+            self._probed_s[service] = now_s
+        self._handovers[key] = (address, now_s)
 
-    def crosses_to(self, address: bytes) -> bool:
-        """Tell whether a dispatcher is in another failure domain.
+    def is_in_other_domain(self, address: bytes) -> bool:
+        """Return whether a dispatcher is in another failure domain.
 
         Parameters
         ----------
@@ -226,12 +232,12 @@
         bool
             Whether it is.
         """
-        return address in self._far
+        return address in self._other_domains
 
-    def find_given(self, key: FlowKey, service: str) -> bytes | None:
-        """Tell where an opening was handed over to, if it waits there.
+    def find_waiting_dispatcher(self, key: FlowKey, service: str) -> bytes | None:
+        """Return the dispatcher that an opening was handed over to, if it waits there.
 
-        A copy of one that was placed there, or lost, has to go another way.
+        A copy of an opening that was placed or lost is placed anew.
 
         Parameters
         ----------
@@ -243,18 +249,21 @@
         Returns
         -------
         bytes or None
-            The packed address; None if whoever it went to has not said since that
-            openings wait there.
+            The packed address; None without a later report of waiting openings.
         """
-        if key not in self._given:
+        if key not in self._handovers:
             return None
-        address, given_s = self._given[key]
+        address, handed_over_s = self._handovers[key]
         load = self._loads.get((service, address))
-        waits = load is not None and load.heard_s >= given_s and load.waiting_count > 0
+        waits = (
+            load is not None
+            and load.received_s >= handed_over_s
+            and load.waiting_count > 0
+        )
         return address if waits else None
 
-    def take_given(self, key: FlowKey) -> bytes | None:
-        """Tell where an opening was handed over to, and forget it.
+    def pop_handover(self, key: FlowKey) -> bytes | None:
+        """Delete a handover, and return its dispatcher.
 
         Parameters
         ----------
@@ -264,25 +273,31 @@
         Returns
         -------
         bytes or None
-            The packed address; None if it was not.
+            The packed address; None if the opening was not handed over.
         """
-        given = self._given.pop(key, None)
-        return given[0] if given else None
+        handover = self._handovers.pop(key, None)
+        return handover[0] if handover else None
 
     def sweep(self) -> None:
-        """Forget what was handed over long ago; to be called about once a second."""
-        oldest_s = self._now_s() - _REMEMBERED_S
-        self._given = {
-            key: given for key, given in self._given.items() if given[1] >= oldest_s
+        """Delete outdated handovers; to be called about once a second."""
+        oldest_s = self._now_s() - _HANDOVER_RETENTION_S
+        self._handovers = {
+            key: handover
+            for key, handover in self._handovers.items()
+            if handover[1] >= oldest_s
         }
 
 
-def _least_busy(
-    addresses: frozenset[bytes], known: Mapping[bytes, _Load], crosses: bool
-) -> Outlet | None:
-    waits_s = {one: known[one].wait_s for one in sorted(addresses) if one in known}
+def _choose_least_busy(
+    addresses: frozenset[bytes], loads: Mapping[bytes, _Load], crosses: bool
+) -> HandoverTarget | None:
+    waits_s = {
+        address: loads[address].wait_s
+        for address in sorted(addresses)
+        if address in loads
+    }
     if not waits_s:
         return None
-    least_s = min(waits_s.values())
-    least = [address for address, wait_s in waits_s.items() if wait_s == least_s]
-    return Outlet(random.choice(least), Elsewhere(least_s, crosses))
+    min_s = min(waits_s.values())
+    least_busy = [address for address, wait_s in waits_s.items() if wait_s == min_s]
+    return HandoverTarget(random.choice(least_busy), Elsewhere(min_s, crosses))
--- a/src/agatethread/datapath/_joining.py
+++ b/src/agatethread/datapath/_joining.py
@@ -1,4 +1,4 @@
-"""Puts shared placing together with the rest of an entry instance."""
+"""Connects shared placing with the other parts of an entry instance."""
 
 from collections.abc import Callable
 
@@ -6,9 +6,9 @@
 from agatethread.datapath._cold import ColdLimits
 from agatethread.datapath._forwarder import LabelForwarder
 from agatethread.datapath._packets import PacketCodec
-from agatethread.datapath._placing import may_take_work
+from agatethread.datapath._placing import accepts_new_flows
 from agatethread.datapath._shared_placing import SharedPlacing
-from agatethread.datapath._taken import Hands
+from agatethread.datapath._taken import OpeningActions
 from agatethread.observability import Counters
 from agatethread.settings import Policies
 from agatethread.wire.registry_pb2 import RegistryMessage
@@ -26,7 +26,7 @@
     counters: Counters,
     policies: Policies,
 ) -> SharedPlacing:
-    """Make what a forwarder places openings with under pressure.
+    """Return the shared placing of a forwarder, used under pressure.
 
     Parameters
     ----------
@@ -37,11 +37,11 @@
     codec : PacketCodec
         The packets' wire format.
     forwarder : LabelForwarder
-        Forwards the openings that are placed.
+        Forwards placed openings.
     view : BackendView
         Known backend servers.
     cold : ColdLimits
-        Which of them are cold; these get nothing this way.
+        Cold backend servers, which receive no shared openings.
     send : callable
         Sends a registry message to a packed address.
     now_s : callable
@@ -54,9 +54,9 @@
     Returns
     -------
     SharedPlacing
-        Not yet told of any dispatcher.
+        Without any dispatchers yet.
     """
-    hands = Hands(
+    actions = OpeningActions(
         forward=forwarder.forward_opening,
         send=send,
         table_version=lambda: forwarder.table.version,
@@ -65,10 +65,12 @@
         own_address,
         failure_domain,
         view.of_service,
-        lambda one: may_take_work(one) and not cold.spares(one, now_s()),
+        lambda backend: (
+            accepts_new_flows(backend) and not cold.spares(backend, now_s())
+        ),
         codec.decode,
         lambda: forwarder.table,
-        hands,
+        actions,
         forwarder.place_here,
         forwarder.refuse,
         now_s,
--- a/src/agatethread/datapath/_judging.py
+++ b/src/agatethread/datapath/_judging.py
@@ -1,4 +1,4 @@
-"""Joins what an entry instance sees of answers with what it is told of weights."""
+"""Reports measured answers to control instances, and applies the weights they send."""
 
 from collections.abc import Callable, Sequence
 from math import inf
@@ -6,29 +6,29 @@
 from agatethread.datapath._answers import AnswerWatch
 from agatethread.datapath._backends import BackendView
 from agatethread.datapath._forwarder import LabelForwarder
-from agatethread.datapath._weights import WeightBook
+from agatethread.datapath._weights import RunWeightStore
 from agatethread.observability import Counters
 from agatethread.registry import HubLink, choose_followed
 from agatethread.wire.registry_pb2 import RegistryMessage, RunWeights
 
-#: Time between two reports: half of what a server that turned slow may go unnoticed is
-#: left for control instances and for enough slow answers.
+#: Short against the time in which a slow server must be noticed, to leave time for
+#: control instances and for enough slow answers.
 REPORT_INTERVAL_S = 0.2
 
 
 class AnswerReports:
-    """Reports answers to one control instance, and takes weights from it.
+    """Sends reports of answers to a control instance, and receives weights.
 
     Parameters
     ----------
     forwarder : LabelForwarder
-        Sees callers' packets; told to watch answers.
+        Receives callers' packets; its answers are measured.
     view : BackendView
         Known runs.
     failure_domain : str
         Of this instance.
     live : callable
-        Lists the control instances that answered lately.
+        Returns the reachable control instances.
     send : callable
         Sends a message to a packed address.
     now_s : callable
@@ -42,64 +42,64 @@
         forwarder: LabelForwarder,
         view: BackendView,
         failure_domain: str,
-        live: Callable[[], Sequence[HubLink]],
+        reachable: Callable[[], Sequence[HubLink]],
         send: Callable[[RegistryMessage, bytes], None],
         now_s: Callable[[], float],
         counters: Counters,
     ):
         self._forwarder = forwarder
         self._failure_domain = failure_domain
-        self._live = live
+        self._reachable = reachable
         self._send = send
         self._now_s = now_s
         self._counters = counters
-        self._watch = forwarder.loads.watch = AnswerWatch(self._aim_of, now_s())
-        self._book = WeightBook(view.find)
+        self._monitor = forwarder.loads.watch = AnswerWatch(self._aim_of, now_s())
+        self._weights = RunWeightStore(view.find)
 
     def _aim_of(self, host: int, port: int) -> float:
         route = self._forwarder.table.routes.get((host, port))
         return route.aim_s if route else inf
 
     def tick(self) -> None:
-        """Report what was seen; to be called each `REPORT_INTERVAL_S`."""
+        """Send a report of answers; to be called every `REPORT_INTERVAL_S`."""
         now_s = self._now_s()
-        self._book.sweep(now_s)
-        sums = self._watch.collect(now_s)
+        self._weights.sweep(now_s)
+        sums = self._monitor.collect(now_s)
         if sums is None:
             return
-        for one in sums.runs:
-            self._counters["answers_seen"] += one.answers
-            self._counters["answers_slow"] += one.slow
-            self._counters["answers_failed"] += one.failed
-        # Entry instances of a failure domain follow the same one first.
-        for link in choose_followed(self._live(), self._failure_domain)[:1]:
+        for answer_sum in sums.runs:
+            self._counters["answers_seen"] += answer_sum.answers
+            self._counters["answers_slow"] += answer_sum.slow
+            self._counters["answers_failed"] += answer_sum.failed
+        # Entry instances of a failure domain prefer the same control instance.
+        for link in choose_followed(self._reachable(), self._failure_domain)[:1]:
             self._send(RegistryMessage(answers=sums), link.address)
 
     def on_weights(self, weights: RunWeights, source: bytes) -> None:
-        """Take what a control instance tells of runs.
+        """Apply the weights of runs that a control instance sends.
 
         Parameters
         ----------
         weights : RunWeights
-            Its message.
+            The weights.
         source : bytes
-            Packed address of the sender; only those in sight are believed.
+            Packed address of the sender; ignored unless it is reachable.
         """
-        if any(link.address == source for link in self._live()):
-            self._book.take(weights, self._now_s())
+        if any(link.address == source for link in self._reachable()):
+            self._weights.apply(weights, self._now_s())
 
-    def weighed_count(self) -> int:
-        """Count the runs that get less than their share.
+    def count_reduced_runs(self) -> int:
+        """Return the number of runs with less than their full share.
 
         Returns
         -------
         int
-            As this instance believes at present.
+            By the weights in force.
         """
-        return len(self._book)
+        return len(self._weights)
 
     def dump(self) -> dict[str, object]:
-        """Give what is known of answers and weights.
+        """Return the usual answer times and the weights.
 
         Returns
         -------
@@ -108,6 +108,6 @@
         """
         usual_s = {
             f"{host:08x}:{port}": round(seconds, 4)
-            for (host, port), seconds in self._watch.usual_s()
+            for (host, port), seconds in self._monitor.usual_answer_s()
         }
-        return {"usual_answer_s": usual_s, "weights": self._book.dump()}
+        return {"usual_answer_s": usual_s, "weights": self._weights.dump()}
--- a/src/agatethread/datapath/_openings.py
+++ b/src/agatethread/datapath/_openings.py
@@ -1,4 +1,4 @@
-"""What is known of an opening before it is placed, and what is logged when it is."""
+"""Examines openings before they are placed, and logs their placement."""
 
 from collections.abc import Callable, Iterable, Sequence
 
@@ -6,13 +6,13 @@
 from agatethread.datapath._cold import ColdLimits
 from agatethread.datapath._flows import Flow
 from agatethread.datapath._packets import Packet
-from agatethread.datapath._placing import may_take_work
+from agatethread.datapath._placing import accepts_new_flows
 from agatethread.observability import Event, make_logger
 from agatethread.routing import Route
 
-#: A cold backend server that is warm by then is waited for: copies of an opening and
-#: of the try that follows it come within twice 1.4 s.
-_WORTH_WAITING_S = 2.8
+#: Time within which a cold backend server must be warm for an opening to wait; covers
+#: the copies of an opening and of the caller's next try.
+_MAX_WARMUP_WAIT_S = 2.8
 
 log = make_logger("forwarder")
 
@@ -20,15 +20,15 @@
 def judge_earlier(
     flow: Flow | None, packet: Packet, route: Route, now_s: float
 ) -> tuple[str, tuple[Backend, ...]]:
-    """Find the service and the runs that the same opening went to before.
+    """Return the service and the runs that received the opening before.
 
-    A first opening from a port that was used before is another flow, and the route may
-    have moved since.
+    A first opening from a reused port is another flow, and the route may have changed
+    in the meantime. The last run is marked as not having answered.
 
     Parameters
     ----------
     flow : Flow or None
-        What is recorded under the packet's addresses.
+        The flow that is recorded under the packet's addresses.
     packet : Packet
         The opening.
     route : Route
@@ -39,7 +39,7 @@
     Returns
     -------
     tuple of (str, tuple of Backend)
-        Empty where it did not come before.
+        Empty for a first opening, or if the route has changed.
     """
     if flow is None or not packet.copy:
         return "", ()
@@ -56,16 +56,16 @@
     cold: ColdLimits,
     now_s: float,
 ) -> bool:
-    """Tell whether a cold run can take an opening before its caller gives up.
+    """Return whether a cold run can accept an opening before its caller's timeout.
 
     Parameters
     ----------
     route : Route
-        Of the opening.
+        Route of the opening.
     runs_of : callable
-        Lists a service's runs.
+        Returns a service's runs.
     cold : ColdLimits
-        Which runs are cold.
+        Limits of cold runs.
     now_s : float
         Present time.
 
@@ -75,10 +75,10 @@
         Whether one is warm by the time of a copy, or of the caller's next try.
     """
     return any(
-        backend.warm_s <= now_s + _WORTH_WAITING_S
+        backend.warm_s <= now_s + _MAX_WARMUP_WAIT_S
         for target in route.targets
         for backend in runs_of(target.service)
-        if may_take_work(backend) and cold.spares(backend, now_s)
+        if accepts_new_flows(backend) and cold.spares(backend, now_s)
     )
 
 
@@ -90,22 +90,22 @@
     table_version: int,
     waited_s: float = 0.0,
 ) -> None:
-    """Log that an opening was placed, and what decided it.
+    """Log the placement of an opening with the state that led to it.
 
     Parameters
     ----------
     packet : Packet
         The opening.
     backend : Backend
-        Where it goes.
+        The chosen run.
     tried : sequence of Backend
-        Runs that got it before and did not answer.
+        Runs that received it before and did not answer.
     now_s : float
         Present time.
     table_version : int
-        Of the routing table in force.
+        Version of the routing table in force.
     waited_s : float, optional
-        How long its caller has waited, as far as the instance knows that relayed it.
+        Time that its caller has waited, as measured by the relaying instance.
     """
     log.info(
         Event.FLOW_PLACED,
@@ -118,7 +118,7 @@
         flows=backend.flows,
         failures=backend.failures,
         told_ago_s=round(now_s - backend.told_s, 3),
-        tried=[one.id for one in tried],
+        tried=[tried_backend.id for tried_backend in tried],
         table_version=table_version,
         waited_s=round(waited_s, 3),
     )
--- a/src/agatethread/datapath/_places.py
+++ b/src/agatethread/datapath/_places.py
@@ -1,4 +1,4 @@
-"""What a dispatcher has given out on its backend servers, and what is left."""
+"""Counts the places on backend servers that a dispatcher has allocated."""
 
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
@@ -6,38 +6,37 @@
 from agatethread.balancing import GroupLoad
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._packets import FlowKey
-from agatethread.datapath._placing import count_places
+from agatethread.datapath._placing import place_limit
 
-#: Until the first end is told, a place is held to be kept for so long: a short request
-#: and the way of its packets.
-_FIRST_PLACE_TIME_S = 0.03
-#: Weight of the newest end in the usual time: about the last fifty count.
+#: Place time that is assumed until the first end.
+_INITIAL_PLACE_TIME_S = 0.03
+#: Weight of the latest end in the moving average of place times.
 _PLACE_TIME_WEIGHT = 0.02
-#: A place is given up after so many usual times, within these bounds, if no end is
-#: told: the word was lost, or the flow's packets come through another instance.
-_GIVEN_UP_AFTER = 10.0
-_SOONEST_GIVEN_UP_S = 0.3
-_LATEST_GIVEN_UP_S = 3.0
-#: How long ends are still learned from after that: else places of a service whose work
-#: is longer than was expected would be given up too soon for ever.
-_LEARNED_FROM_S = 10.0
+#: A place without an end expires after this multiple of the usual place time, within
+#: the bounds below; the end may be lost, or seen by another instance only.
+_EXPIRY_FACTOR = 10.0
+_MIN_EXPIRY_S = 0.3
+_MAX_EXPIRY_S = 3.0
+#: Age up to which the ends of expired places still adjust the usual time, so that
+#: places of a service with longer work stop expiring.
+_LATE_END_WINDOW_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
-class Placed:
+class Placement:
     """An opening that has a place on a backend server."""
 
     backend: Backend
     service: str
     since_s: float
-    #: Runs that got it before and did not answer.
+    #: Runs that received the opening before and did not answer.
     tried: tuple[Backend, ...]
     #: Packed address of the instance that relayed it.
     sender: bytes = b""
 
 
 class PlaceCounts:
-    """Openings and requests in progress, by backend server.
+    """Counts openings and requests in progress by backend server.
 
     Parameters
     ----------
@@ -47,36 +46,36 @@
 
     def __init__(self, now_s: Callable[[], float]):
         self._now_s = now_s
-        self._placed: dict[FlowKey, Placed] = {}
-        #: Those whose places were given up.
-        self._late: dict[FlowKey, Placed] = {}
+        self._placements: dict[FlowKey, Placement] = {}
+        #: Openings whose places expired without an end.
+        self._expired: dict[FlowKey, Placement] = {}
         self._in_progress: dict[Backend, int] = {}
-        self._usual_s: dict[str, float] = {}
+        self._place_times_s: dict[str, float] = {}
 
     def __len__(self) -> int:
-        return len(self._placed)
+        return len(self._placements)
 
     @property
     def in_progress(self) -> Mapping[Backend, int]:
-        """Count what each server has; those with nothing are left out."""
+        """Openings and requests of each server; servers without any are left out."""
         return self._in_progress
 
-    def find(self, key: FlowKey) -> Placed | None:
-        """Find what has a place.
+    def find(self, key: FlowKey) -> Placement | None:
+        """Return the placement of a flow.
 
         Parameters
         ----------
         key : FlowKey
-            Its flow.
+            The flow.
 
         Returns
         -------
-        Placed or None
-            None if nothing has.
+        Placement or None
+            None if the flow has no place.
         """
-        return self._placed.get(key)
+        return self._placements.get(key)
 
-    def take(
+    def allocate(
         self,
         key: FlowKey,
         backend: Backend,
@@ -84,124 +83,128 @@
         tried: tuple[Backend, ...] = (),
         sender: bytes = b"",
     ) -> None:
-        """Note that an opening got a place.
+        """Allocate a place to an opening.
 
         Parameters
         ----------
         key : FlowKey
             Its flow.
         backend : Backend
-            Where.
+            The server.
         service : str
-            Of the server.
+            Service of the server.
         tried : tuple of Backend, optional
-            Runs that got the opening before and did not answer.
+            Runs that received the opening before and did not answer.
         sender : bytes, optional
             Packed address of the instance that relayed it.
         """
-        self._late.pop(key, None)
-        self._placed[key] = Placed(backend, service, self._now_s(), tried, sender)
+        self._expired.pop(key, None)
+        self._placements[key] = Placement(
+            backend, service, self._now_s(), tried, sender
+        )
         self._in_progress[backend] = self._in_progress.get(backend, 0) + 1
 
-    def release(self, key: FlowKey) -> Placed | None:
-        """Give a place back.
+    def release(self, key: FlowKey) -> Placement | None:
+        """Release the place of a flow.
 
         Parameters
         ----------
         key : FlowKey
-            The flow that had it.
+            The flow.
 
         Returns
         -------
-        Placed or None
-            What had it; None if nothing has.
+        Placement or None
+            None if the flow had no place.
         """
-        placed = self._placed.pop(key, None)
-        if placed is None:
+        placement = self._placements.pop(key, None)
+        if placement is None:
             return None
-        left = self._in_progress[placed.backend] - 1
-        if left:
-            self._in_progress[placed.backend] = left
+        remaining_count = self._in_progress[placement.backend] - 1
+        if remaining_count:
+            self._in_progress[placement.backend] = remaining_count
         else:
-            del self._in_progress[placed.backend]
-        return placed
+            del self._in_progress[placement.backend]
+        return placement
 
-    def end(self, key: FlowKey) -> Placed | None:
-        """Give a place back since its work is done, and learn how long that took.
+    def end(self, key: FlowKey) -> Placement | None:
+        """Release the place of a flow whose work has ended, and update the usual time.
 
         Parameters
         ----------
         key : FlowKey
-            The flow that had it.
+            The flow.
 
         Returns
         -------
-        Placed or None
-            What had it; None if nothing has.
+        Placement or None
+            None if the flow had no place.
         """
-        placed = self.release(key)
-        known = placed or self._late.pop(key, None)
-        if known is not None:
-            usual_s = self.usual_s(known.service)
-            change_s = self._now_s() - known.since_s - usual_s
-            self._usual_s[known.service] = usual_s + change_s * _PLACE_TIME_WEIGHT
-        return placed
-
-    def list_aged(self, least_s: float, below_s: float) -> list[Placed]:
-        """List what has had its place for some time.
+        placement = self.release(key)
+        ended = placement or self._expired.pop(key, None)
+        if ended is not None:
+            place_time_s = self.place_time_s(ended.service)
+            change_s = self._now_s() - ended.since_s - place_time_s
+            self._place_times_s[ended.service] = (
+                place_time_s + change_s * _PLACE_TIME_WEIGHT
+            )
+        return placement
+
+    def list_in_age_range(self, min_age_s: float, max_age_s: float) -> list[Placement]:
+        """Return the placements whose age is in a range.
 
         Parameters
         ----------
-        least_s, below_s : float
-            For how long at least, and less than that.
+        min_age_s, max_age_s : float
+            Minimum age, and an exclusive maximum.
 
         Returns
         -------
-        list of Placed
-            Mostly few.
+        list of Placement
+            In no particular order.
         """
         now_s = self._now_s()
         return [
-            placed
-            for placed in self._placed.values()
-            if least_s <= now_s - placed.since_s < below_s
+            placement
+            for placement in self._placements.values()
+            if min_age_s <= now_s - placement.since_s < max_age_s
         ]
 
-    def give_up(self) -> list[Placed]:
-        """Give back the places whose end should have been told long ago.
+    def expire(self) -> list[Placement]:
+        """Release the places whose end is overdue.
 
         Returns
         -------
-        list of Placed
-            What had them.
+        list of Placement
+            The released ones.
         """
         now_s = self._now_s()
-        late = {
-            key: placed
-            for key, placed in self._placed.items()
-            if now_s - placed.since_s > self._longest_s(placed.service)
+        expired = {
+            key: placement
+            for key, placement in self._placements.items()
+            if now_s - placement.since_s > self._expiry_s(placement.service)
         }
-        for key in late:
+        for key in expired:
             self.release(key)
-        self._late = {
-            key: placed
-            for key, placed in (self._late | late).items()
-            if now_s - placed.since_s < _LEARNED_FROM_S
+        self._expired = {
+            key: placement
+            for key, placement in (self._expired | expired).items()
+            if now_s - placement.since_s < _LATE_END_WINDOW_S
         }
-        return list(late.values())
+        return list(expired.values())
 
     def clear(self) -> None:
-        """Forget what has a place; what was learned stays."""
-        self._placed.clear()
-        self._late.clear()
+        """Delete all placements, but keep the usual place times."""
+        self._placements.clear()
+        self._expired.clear()
         self._in_progress.clear()
 
-    def _longest_s(self, service: str) -> float:
-        longest_s = max(_GIVEN_UP_AFTER * self.usual_s(service), _SOONEST_GIVEN_UP_S)
-        return min(longest_s, _LATEST_GIVEN_UP_S)
+    def _expiry_s(self, service: str) -> float:
+        expiry_s = max(_EXPIRY_FACTOR * self.place_time_s(service), _MIN_EXPIRY_S)
+        return min(expiry_s, _MAX_EXPIRY_S)
 
-    def usual_s(self, service: str) -> float:
-        """Tell how long an opening of a service usually keeps its place.
+    def place_time_s(self, service: str) -> float:
+        """Return how long an opening of a service usually occupies its place.
 
         Parameters
         ----------
@@ -213,35 +216,35 @@
         float
             Seconds.
         """
-        return self._usual_s.get(service, _FIRST_PLACE_TIME_S)
+        return self._place_times_s.get(service, _INITIAL_PLACE_TIME_S)
 
-    def load(
+    def measure_load(
         self, service: str, servers: Sequence[Backend], waiting_count: int
     ) -> GroupLoad:
-        """Sum up the load of a service's servers.
+        """Return the load of a service's servers.
 
         Parameters
         ----------
         service : str
             The service.
         servers : sequence of Backend
-            Those that may take work.
+            Servers that accept new flows.
         waiting_count : int
-            Openings that wait for them.
+            Openings that wait for a place.
 
         Returns
         -------
         GroupLoad
-            Without the places of servers that do not answer.
+            Without the places of servers that are avoided.
         """
         now_s = self._now_s()
-        answering = [one for one in servers if now_s >= one.penalty_until_s]
+        answering = [server for server in servers if now_s >= server.penalty_until_s]
         return GroupLoad(
             free_count=sum(
-                max(0, count_places(one) - self._in_progress.get(one, 0))
-                for one in answering
+                max(0, place_limit(server) - self._in_progress.get(server, 0))
+                for server in answering
             ),
             waiting_count=waiting_count,
-            place_count=sum(count_places(one) for one in answering),
-            place_time_s=self.usual_s(service),
+            place_count=sum(place_limit(server) for server in answering),
+            place_time_s=self.place_time_s(service),
         )
--- a/src/agatethread/datapath/_placing.py
+++ b/src/agatethread/datapath/_placing.py
@@ -1,9 +1,8 @@
-"""Choose the backend server of a new flow.
+"""Chooses the backend servers of new flows.
 
-The load that this answers: long flows with a request now and then, and flows of one
-request each, on servers with two slots and a short queue. What counts is how many
-requests a server works on at this moment; how many idle flows it holds matters little,
-but is all that tells servers apart in a quiet second.
+Handles long flows with occasional requests next to flows of one request each. The cost
+of a server depends on its requests in progress, and little on its idle flows, which
+still tell servers apart under low load.
 """
 
 import random
@@ -14,13 +13,12 @@
 from agatethread.routing import Target
 from agatethread.settings import DEFAULT_POLICIES, Policies
 
-#: Share of a request that an open flow stands for: callers of long flows send one each
-#: two seconds or so, which takes 22 ms.
-_FLOW_LOAD = 0.02
+#: Requests in progress that an idle open flow counts as.
+_IDLE_FLOW_LOAD = 0.02
 
 
 def choose_service(targets: Sequence[Target], draw: Callable[[], float]) -> str:
-    """Choose a service by the weights of a route.
+    """Return a service drawn by the weights of a route.
 
     Parameters
     ----------
@@ -36,16 +34,16 @@
     """
     if len(targets) == 1:
         return targets[0].service
-    left = draw() * sum(target.weight for target in targets)
+    remaining = draw() * sum(target.weight for target in targets)
     for target in targets:
-        left -= target.weight
-        if left < 0:
+        remaining -= target.weight
+        if remaining < 0:
             return target.service
     return next(target.service for target in targets if target.weight > 0)
 
 
-def may_take_work(backend: Backend) -> bool:
-    """Tell whether a run may be given a new flow at all.
+def accepts_new_flows(backend: Backend) -> bool:
+    """Return whether a run accepts new flows.
 
     Parameters
     ----------
@@ -55,15 +53,16 @@
     Returns
     -------
     bool
-        Whether it reports, is not asked to be left alone, and its label is its own.
+        Whether it reports, is neither draining, evacuated nor ended, and shares its
+        label with no other run.
     """
-    return backend.reporting and not _is_closed(backend)
+    return backend.reporting and not _refuses_new_flows(backend)
 
 
-def _is_closed(backend: Backend) -> bool:
-    """Tell whether a run gets no new flow whoever is left.
+def _refuses_new_flows(backend: Backend) -> bool:
+    """Return whether a run receives no new flow, even without an alternative.
 
-    An evacuated failure domain stays empty also where nobody else is in sight, but for
+    An evacuated failure domain receives none also when no other is reachable, but for
     instances that are cut off with it, see `BackendView.exempt`.
     """
     if backend.draining or backend.evacuated:
@@ -74,10 +73,10 @@
 def may_be_alive(
     backend: Backend, now_s: float, policies: Policies = DEFAULT_POLICIES
 ) -> bool:
-    """Tell whether a run that is out of sight may be tried where no other is left.
+    """Return whether an unreachable run may be tried without an alternative.
 
-    What no control instance in sight hears may be cut off from them alone, or be back
-    before the caller's time is over; it is not known to be gone.
+    It may be unreachable for the reachable control instances only, or return before the
+    caller's timeout.
 
     Parameters
     ----------
@@ -86,14 +85,14 @@
     now_s : float
         Present time.
     policies : Policies, optional
-        For how long it is tried.
+        Time for which it is tried.
 
     Returns
     -------
     bool
-        Whether it fell silent not long ago and had not said that it leaves.
+        Whether its reports stopped recently, without notice of its end.
     """
-    if _is_closed(backend):
+    if _refuses_new_flows(backend):
         return False
     return now_s - backend.silent_since_s < policies.out_of_sight_s
 
@@ -101,7 +100,7 @@
 def _cost(
     backend: Backend, failure_domain: str, now_s: float, policies: Policies
 ) -> float:
-    load = backend.in_flight + 1 + _FLOW_LOAD * backend.flows
+    load = backend.in_flight + 1 + _IDLE_FLOW_LOAD * backend.flows
     if now_s < backend.warm_s:
         load *= policies.cold_factor
     load /= backend.slots
@@ -110,15 +109,14 @@
     return load
 
 
-def is_spared(
+def is_skipped_by_weight(
     backend: Backend, now_s: float, draw: Callable[[], float] = random.random
 ) -> bool:
-    """Tell whether a run is left out of this opening, while another can take it.
+    """Return whether a run is left out of an opening, by chance and its weight.
 
-    The load that this answers: an instance has less than one request in progress at a
-    time, so a cost that is twice as high would take all work away from a run that is
-    to get half. Left out by chance it gets the share that was told, from any number of
-    instances.
+    Handles instances with few requests in progress, where a higher cost would take all
+    flows from a run. A random choice gives it the share of its weight from any number
+    of instances.
 
     Parameters
     ----------
@@ -132,33 +130,33 @@
     Returns
     -------
     bool
-        False always where it has all of its share.
+        Always False with the full weight.
     """
     weight = backend.usable_weight(now_s)
     return weight < 1.0 and draw() >= weight
 
 
-def _take_least(
+def _choose_least_loaded(
     candidates: Iterable[Backend],
     load_of: Callable[[Backend], float],
     now_s: float,
     tried: Sequence[Backend],
 ) -> Backend | None:
-    """Take the least loaded run, by chance where loads are equal.
+    """Return the least loaded run, a random one of equal loads.
 
-    One that did not answer this flow, is avoided or left out this time comes behind.
+    Runs that did not answer this flow, and avoided or left out ones, rank last.
     """
-    best, best_cost = None, (True, True, 0.0, 0.0)
+    least_loaded, least_cost = None, (True, True, 0.0, 0.0)
     for backend in candidates:
         cost = (
             backend in tried,
-            now_s < backend.penalty_until_s or is_spared(backend, now_s),
+            now_s < backend.penalty_until_s or is_skipped_by_weight(backend, now_s),
             load_of(backend),
             random.random(),
         )
-        if best is None or cost < best_cost:
-            best, best_cost = backend, cost
-    return best
+        if least_loaded is None or cost < least_cost:
+            least_loaded, least_cost = backend, cost
+    return least_loaded
 
 
 def choose_backend(
@@ -166,10 +164,10 @@
     failure_domain: str,
     now_s: float,
     tried: Sequence[Backend] = (),
-    may_take: Callable[[Backend], bool] = may_take_work,
+    is_candidate: Callable[[Backend], bool] = accepts_new_flows,
     policies: Policies = DEFAULT_POLICIES,
 ) -> Backend | None:
-    """Choose the least loaded run, the nearest if loads are alike.
+    """Return the least loaded run, of the own failure domain if loads are alike.
 
     Parameters
     ----------
@@ -180,30 +178,29 @@
     now_s : float
         Present time.
     tried : sequence of Backend, optional
-        Runs that have not answered this flow; taken only if there is no other.
-    may_take : callable, optional
-        Tells whether a run is a candidate.
+        Runs that have not answered this flow; chosen only without an alternative.
+    is_candidate : callable, optional
+        Returns whether a run is a candidate.
 
     Returns
     -------
     Backend or None
         None when no run is a candidate.
     """
-    return _take_least(
-        filter(may_take, backends),
-        lambda one: _cost(one, failure_domain, now_s, policies),
+    return _choose_least_loaded(
+        filter(is_candidate, backends),
+        lambda backend: _cost(backend, failure_domain, now_s, policies),
         now_s,
         tried,
     )
 
 
-def count_places(backend: Backend) -> int:
-    """Count the openings and requests that a run may have in progress at once.
+def place_limit(backend: Backend) -> int:
+    """Return the number of openings and requests that a run may have in progress.
 
-    The load that this answers: every slot is in use, and who is urgent must not queue
-    behind others at a server. A short request travels as long as it is worked on, to
-    the server and as the word of its end; for a slot not to idle meanwhile there are
-    three for each, and two more since they come and go at random.
+    Handles full load, when urgent openings must not queue at a server. Each slot has
+    several places, so that it does not idle while packets and ends are on their way,
+    and two more absorb random arrivals.
 
     Parameters
     ----------
@@ -213,7 +210,7 @@
     Returns
     -------
     int
-        More than its slots, and less than it takes in before it sheds.
+        More than its slots, and less than its queue limit.
     """
     return 3 * backend.slots + 2
 
@@ -225,25 +222,25 @@
     tried: Sequence[Backend] = (),
     policies: Policies = DEFAULT_POLICIES,
 ) -> Backend | None:
-    """Choose the run with the least in progress by exact counts.
+    """Return the run with the least work in progress by exact counts.
 
     Parameters
     ----------
     backends : iterable of Backend
-        Those that may take work.
+        Runs that accept new flows.
     in_progress : mapping of Backend to int
-        Openings and requests that each has; those without any are left out.
+        Openings and requests of each run; runs without any may be missing.
     now_s : float
         Present time.
     tried : sequence of Backend, optional
-        Runs that have not answered this flow; taken only if there is no other.
+        Runs that have not answered this flow; chosen only without an alternative.
     policies : Policies, optional
-        How much slower a cold one counts.
+        Cost factor of cold runs.
 
     Returns
     -------
     Backend or None
-        None when no run has a place.
+        None if no run has a free place.
     """
 
     def load_of(backend: Backend) -> float:
@@ -253,9 +250,9 @@
     with_room = (
         backend
         for backend in backends
-        if in_progress.get(backend, 0) < count_places(backend)
+        if in_progress.get(backend, 0) < place_limit(backend)
     )
-    return _take_least(with_room, load_of, now_s, tried)
+    return _choose_least_loaded(with_room, load_of, now_s, tried)
 
 
 def place_flow(
@@ -267,18 +264,18 @@
     policies: Policies = DEFAULT_POLICIES,
     cold: ColdLimits = NO_COLD_LIMITS,
 ) -> Backend | None:
-    """Choose the run of a new flow among all services that may take it.
+    """Return the run of a new flow among all services that may receive it.
 
-    The load that this answers: a failure domain that is cut off with no run of the
-    chosen service left in sight. Its callers are better served by another service of
-    the route, or by a run that may come into sight again while they wait, than refused.
+    Handles a failure domain that is cut off, without a reachable run of the chosen
+    service: another service of the route, or a run that may become reachable while the
+    caller waits, is better than a refusal.
 
     Parameters
     ----------
     services : sequence of str
         Services of the route, the chosen one first.
     runs_of : callable
-        Lists a service's runs.
+        Returns a service's runs.
     failure_domain : str
         Of this instance.
     now_s : float
@@ -288,30 +285,30 @@
     policies : Policies, optional
         Which runs may be tried.
     cold : ColdLimits, optional
-        Which cold runs get nothing, or little.
+        Limits of cold runs.
 
     Returns
     -------
     Backend or None
-        None when no run may be given it.
+        None if no run may receive it.
     """
     if not policies.uses_other_services:
         services = services[:1]
 
     def is_warm(backend: Backend) -> bool:
-        return may_take_work(backend) and not cold.spares(backend, now_s)
+        return accepts_new_flows(backend) and not cold.spares(backend, now_s)
 
-    def has_share_left(backend: Backend) -> bool:
-        return may_take_work(backend) and cold.permits(backend, now_s)
+    def is_within_cold_limit(backend: Backend) -> bool:
+        return accepts_new_flows(backend) and cold.permits(backend, now_s)
 
-    def is_out_of_sight(backend: Backend) -> bool:
-        alive = may_be_alive(backend, now_s, policies)
-        return alive and not cold.spares(backend, now_s)
+    def is_unreachable(backend: Backend) -> bool:
+        is_alive = may_be_alive(backend, now_s, policies)
+        return is_alive and not cold.spares(backend, now_s)
 
-    for may_take in (is_warm, has_share_left, is_out_of_sight):
+    for is_candidate in (is_warm, is_within_cold_limit, is_unreachable):
         for service in services:
             backend = choose_backend(
-                runs_of(service), failure_domain, now_s, tried, may_take, policies
+                runs_of(service), failure_domain, now_s, tried, is_candidate, policies
             )
             if backend is not None:
                 return backend
@@ -319,19 +316,19 @@
 
 
 def order_services(targets: Sequence[Target], first: str) -> tuple[str, ...]:
-    """List the services that a route's new flows may go to.
+    """Return the services that a route's new flows may use.
 
     Parameters
     ----------
     targets : sequence of Target
         The route's services and weights.
     first : str
-        The chosen one.
+        The chosen service.
 
     Returns
     -------
     tuple of str
-        The chosen one, then the others with some weight, the heaviest first.
+        The chosen service, then the others with a weight, the heaviest first.
     """
     ranked = sorted(targets, key=lambda target: -target.weight)
     others = [target.service for target in ranked if target.weight > 0]
--- a/src/agatethread/datapath/_relaying.py
+++ b/src/agatethread/datapath/_relaying.py
@@ -1,11 +1,10 @@
-"""Openings that another entry instance places, as the one that relayed them sees them.
-
-The load that this answers: callers who compete for too little room before many entry
-instances. Under pressure an instance places openings as the dispatcher of some backend
-servers, or relays them to another dispatcher of its failure domain; the answer and all
-later packets of the flow do without it. The caller's next packet shows that it was
-placed, and the end of its request is told back. A dispatcher that dies costs the
-openings on their way one copy each: that goes to another one.
+"""Relays openings of callers to the dispatchers of the own failure domain.
+
+Handles many callers that compete for few slots through many entry instances. Under
+pressure an instance relays openings to dispatchers, or places them as a dispatcher
+itself; answers and later packets of a flow do not pass the dispatcher. The caller's
+next packet shows that the opening was placed, and the end of its request is reported to
+the dispatcher. A failed dispatcher delays the openings it received by one copy each.
 """
 
 import random
@@ -25,40 +24,39 @@
     WorkEnded,
 )
 
-#: A dispatcher that let so many openings wait for their callers' copies, and showed no
-#: sign of life since, gets none for so long: one message may be lost, and control
-#: instances notice within a second that it is gone.
-_MISSES_BEFORE_DISTRUST = 2
-_DISTRUST_S = 2.0
-#: Nothing is told of a relayed flow whose end was not seen here for so long: its
-#: packets may come through another instance, and its dispatcher has given it up.
-_FORGET_S = 5.0
-#: A relayed opening counts as being on its way for so long after its caller sent it or
-#: a copy last: copies come 0.2 and 0.4 s apart, and a refused caller sends none.
-_ON_ITS_WAY_S = 0.45
-#: What comes again sooner than this is the same packet, not a port that is used anew.
-_SAME_PACKET_S = 0.15
-#: Relayed openings remembered: those of 5 s at ten times what an instance can forward.
-_MOST_RELAYED = 20_000
+#: Openings without a sign of life after which a dispatcher is suspected, more than one
+#: since a message may be lost; a suspected dispatcher is avoided for some time, until
+#: control instances replace it.
+_MISSES_BEFORE_SUSPICION = 2
+_SUSPICION_S = 2.0
+#: Retention of a relayed flow without packets; its dispatcher has expired it by then.
+_RETENTION_S = 5.0
+#: Time after the latest copy in which a relayed opening counts as unplaced; longer than
+#: the interval of copies, which refused callers do not send.
+_UNPLACED_WINDOW_S = 0.45
+#: Shorter than the time after which callers reuse ports.
+_DUPLICATE_WINDOW_S = 0.15
+#: Limit of stored flows; above those of a full retention time under overload.
+_MAX_FLOWS = 20_000
 
 log = make_logger("relay")
 
 
 @dataclass(slots=True)
-class _Relayed:
+class _RelayedFlow:
     dispatcher: bytes
     service: str
-    first_s: float
-    last_s: float
-    #: Whether a packet of the flow has shown that it was placed.
-    placed: bool = False
-    busy: bool = False
-    #: Whether it counts as being on its way.
-    counted: bool = False
+    first_sent_s: float
+    last_sent_s: float
+    #: Whether a packet of the flow has shown its placement.
+    is_placed: bool = False
+    is_busy: bool = False
+    #: Whether it counts as unplaced.
+    is_counted: bool = False
 
 
 class OpeningRelay:
-    """Decides which openings are relayed, and tells dispatchers of their ends.
+    """Relays openings, and reports their ends to dispatchers.
 
     Parameters
     ----------
@@ -67,13 +65,13 @@
     groups : ServerGroups
         The dispatchers and their servers.
     runs_of : callable
-        Lists a service's runs.
+        Returns a service's runs.
     send : callable
         Sends a registry message to a packed address, also to this instance itself.
     now_s : callable
         Monotonic clock.
     counters : Counters
-        Counts what is relayed.
+        Counts relayed and returned openings.
     """
 
     def __init__(
@@ -92,113 +90,115 @@
         self._now_s = now_s
         self._counters = counters
         self._gauge = PressureGauge()
-        self._relayed: dict[FlowKey, _Relayed] = {}
-        #: Relayed openings of each service that no packet has shown to be placed yet,
-        #: and those that were sent lately, the oldest first.
-        self._on_their_way: dict[str, int] = {}
-        self._sent: deque[tuple[float, _Relayed]] = deque()
-        #: Until when each dispatcher is known to have placed, or held, what it got.
-        self._alive_s: dict[bytes, float] = {}
-        #: When those that did not got what they lost, and until when they get nothing.
-        self._distrusted_s: dict[bytes, tuple[float, float]] = {}
-        #: Openings that each lost since it last showed that it lives.
+        self._flows: dict[FlowKey, _RelayedFlow] = {}
+        #: Unplaced openings by service, and the recently sent ones, the oldest first.
+        self._unplaced_counts: dict[str, int] = {}
+        self._recently_sent: deque[tuple[float, _RelayedFlow]] = deque()
+        #: Latest time at which each dispatcher is known to have been alive.
+        self._last_alive_s: dict[bytes, float] = {}
+        #: By suspected dispatcher: time of the lost opening, and end of the suspicion.
+        self._suspicions_s: dict[bytes, tuple[float, float]] = {}
+        #: Lost openings of each dispatcher since its latest sign of life.
         self._misses: Counter[bytes] = Counter()
-        self._pressed: set[str] = set()
-        self._awake_since_s = now_s()
+        self._pressed_services: set[str] = set()
+        self._resumed_s = now_s()
 
     def __len__(self) -> int:
-        return len(self._relayed)
-
-    # -- openings -----------------------------------------------------------------
+        return len(self._flows)
 
     def relay(self, packet: Packet, service: str, table_version: int) -> bool:
-        """Relay an opening, if it is better placed elsewhere.
+        """Relay an opening to a dispatcher under pressure.
 
         Parameters
         ----------
         packet : Packet
             The opening.
         service : str
-            Where it goes.
+            The chosen service.
         table_version : int
-            Of the table that says so.
+            Version of the routing table that names it.
 
         Returns
         -------
         bool
-            False if this instance is to place it.
+            False if this instance has to place it.
         """
         now_s = self._now_s()
-        known = self._relayed.get(packet.key)
-        if known is not None and not packet.copy:
-            if now_s - known.first_s < _SAME_PACKET_S:
+        flow = self._flows.get(packet.key)
+        if flow is not None and not packet.copy:
+            if now_s - flow.first_sent_s < _DUPLICATE_WINDOW_S:
                 return True
-            # The port is used anew.
-            self._forget(packet.key)
-            known = None
-        if known is None and (packet.copy or not self._is_pressed(service, now_s)):
+            # The port is reused for another flow.
+            self._delete(packet.key)
+            flow = None
+        if flow is None and (
+            packet.copy or not self._is_under_pressure(service, now_s)
+        ):
             return False
-        if known is not None and self._is_lost(packet, known, now_s):
-            known = self._move(packet.key, known, now_s)
-        elif known is None:
-            known = self._start(packet.key, service, now_s)
-        if known is None:
+        if flow is not None and self._is_lost(packet, flow, now_s):
+            flow = self._reassign(packet.key, flow, now_s)
+        elif flow is None:
+            flow = self._add(packet.key, service, now_s)
+        if flow is None:
             return False
-        known.last_s = now_s
-        self._count(known)
-        # A copy asks for the service that was drawn for its opening.
-        self._send_opening(packet, known, table_version)
+        flow.last_sent_s = now_s
+        self._count_unplaced(flow)
+        # A copy keeps the service that was drawn for its opening.
+        self._send_opening(packet, flow, table_version)
         return True
 
-    def _start(self, key: FlowKey, service: str, now_s: float) -> _Relayed | None:
-        dispatcher = self._choose(service, now_s)
-        if dispatcher is None or len(self._relayed) >= _MOST_RELAYED:
+    def _add(self, key: FlowKey, service: str, now_s: float) -> _RelayedFlow | None:
+        dispatcher = self._choose_dispatcher(service, now_s)
+        if dispatcher is None or len(self._flows) >= _MAX_FLOWS:
             return None
-        known = self._relayed[key] = _Relayed(dispatcher, service, now_s, now_s)
-        return known
-
-    def _move(self, key: FlowKey, known: _Relayed, now_s: float) -> _Relayed | None:
-        """Choose another dispatcher for an opening that the first one lost."""
-        self._tell_end(key, known.dispatcher)
-        dispatcher = self._choose(known.service, now_s, known.dispatcher)
+        flow = self._flows[key] = _RelayedFlow(dispatcher, service, now_s, now_s)
+        return flow
+
+    def _reassign(
+        self, key: FlowKey, flow: _RelayedFlow, now_s: float
+    ) -> _RelayedFlow | None:
+        """Assign a lost opening to another dispatcher."""
+        self._send_end(key, flow.dispatcher)
+        dispatcher = self._choose_dispatcher(flow.service, now_s, flow.dispatcher)
         if dispatcher is None:
-            self._forget(key)
+            self._delete(key)
             return None
-        known.dispatcher = dispatcher
-        return known
+        flow.dispatcher = dispatcher
+        return flow
 
-    def _is_lost(self, packet: Packet, known: _Relayed, now_s: float) -> bool:
-        """Decide whether a dispatcher has lost an opening whose copy has come."""
-        if known.dispatcher == self._own_address:
+    def _is_lost(self, packet: Packet, flow: _RelayedFlow, now_s: float) -> bool:
+        """Return whether the dispatcher has lost an opening whose copy arrived."""
+        if flow.dispatcher == self._own_address:
             return False
-        if self._alive_s.get(known.dispatcher, 0.0) >= known.last_s:
+        if self._last_alive_s.get(flow.dispatcher, 0.0) >= flow.last_sent_s:
             return False
-        if known.last_s < self._awake_since_s:
-            # Whatever it said came while this instance did not run.
+        if flow.last_sent_s < self._resumed_s:
+            # Its sign of life may have arrived during a pause of this instance.
             return False
-        misses = self._misses[known.dispatcher] = self._misses[known.dispatcher] + 1
-        if misses >= _MISSES_BEFORE_DISTRUST:
-            self._distrust(packet, known, now_s)
+        misses = self._misses[flow.dispatcher] = self._misses[flow.dispatcher] + 1
+        if misses >= _MISSES_BEFORE_SUSPICION:
+            self._suspect(packet, flow, now_s)
         return True
 
-    def _distrust(self, packet: Packet, known: _Relayed, now_s: float) -> None:
-        distrusted_s = (known.last_s, now_s + _DISTRUST_S)
-        self._distrusted_s[known.dispatcher] = distrusted_s
+    def _suspect(self, packet: Packet, flow: _RelayedFlow, now_s: float) -> None:
+        suspicion_s = (flow.last_sent_s, now_s + _SUSPICION_S)
+        self._suspicions_s[flow.dispatcher] = suspicion_s
         self._counters["dispatchers_silent"] += 1
         log.warning(
             Event.DISPATCHER_SILENT,
-            dispatcher=known.dispatcher.hex(),
+            dispatcher=flow.dispatcher.hex(),
             flow=str(packet.key),
-            waited_s=round(now_s - known.first_s, 3),
+            waited_s=round(now_s - flow.first_sent_s, 3),
         )
 
-    def _choose(self, service: str, now_s: float, lost: bytes = b"") -> bytes | None:
-        """Choose this instance itself, else draw a dispatcher by its slots.
+    def _choose_dispatcher(
+        self, service: str, now_s: float, excluded: bytes = b""
+    ) -> bytes | None:
+        """Return this instance itself, else a dispatcher drawn by its slots.
 
-        What an instance places on servers of its own takes no message, and most of a
-        crowd does: only what finds no place there goes over the link. A dispatcher that
-        is distrusted is left out while most others are not: theirs bear its share until
-        control instances name another one. Else openings are placed by own counts.
+        Placing on own servers needs no message. Suspected dispatchers are left out
+        while most others are not suspected; otherwise None is returned, and this
+        instance places by its own counts.
         """
         slots = self._groups.count_slots(service)
         if self._own_address in slots:
@@ -206,72 +206,72 @@
         trusted = {
             dispatcher: count
             for dispatcher, count in slots.items()
-            if dispatcher != lost and not self._is_distrusted(dispatcher, now_s)
+            if dispatcher != excluded and not self._is_suspected(dispatcher, now_s)
         }
         if 2 * len(trusted) <= len(slots):
             return None
         return random.choices(list(trusted), list(trusted.values()))[0]
 
-    def _is_distrusted(self, dispatcher: bytes, now_s: float) -> bool:
-        _, until_s = self._distrusted_s.get(dispatcher, (now_s, now_s))
+    def _is_suspected(self, dispatcher: bytes, now_s: float) -> bool:
+        _, until_s = self._suspicions_s.get(dispatcher, (now_s, now_s))
         return until_s > now_s
 
     def _send_opening(
-        self, packet: Packet, known: _Relayed, table_version: int
+        self, packet: Packet, flow: _RelayedFlow, table_version: int
     ) -> None:
-        waited_s = self._now_s() - known.first_s
+        waited_s = self._now_s() - flow.first_sent_s
         opening = RelayedOpening(
             packet=packet.data,
-            service=known.service,
+            service=flow.service,
             table_version=table_version,
             waited_ms=round(1000 * waited_s),
         )
-        if known.dispatcher != self._own_address:
-            self._log_relayed(packet, known, waited_s, table_version)
-        self._send(RegistryMessage(relayed=opening), known.dispatcher)
+        if flow.dispatcher != self._own_address:
+            self._log_relayed(packet, flow, waited_s, table_version)
+        self._send(RegistryMessage(relayed=opening), flow.dispatcher)
 
     def _log_relayed(
-        self, packet: Packet, known: _Relayed, waited_s: float, table_version: int
+        self, packet: Packet, flow: _RelayedFlow, waited_s: float, table_version: int
     ) -> None:
         self._counters["openings_relayed"] += 1
         log.info(
             Event.OPENING_RELAYED,
             flow=str(packet.key),
             copy=packet.copy,
-            service=known.service,
-            dispatcher=known.dispatcher.hex(),
+            service=flow.service,
+            dispatcher=flow.dispatcher.hex(),
             waited_s=round(waited_s, 3),
             table_version=table_version,
         )
 
-    # -- pressure -----------------------------------------------------------------
-
-    def _is_pressed(self, service: str, now_s: float) -> bool:
-        """Decide whether so many slots are in use that placing is shared."""
-        self._uncount_old(now_s)
-        in_flight_count = sum(one.in_flight for one in self._runs_of(service))
-        pressed = self._gauge.is_high(
+    def _is_under_pressure(self, service: str, now_s: float) -> bool:
+        """Return whether so many slots are in use that openings are relayed."""
+        self._uncount_outdated(now_s)
+        in_flight_count = sum(run.in_flight for run in self._runs_of(service))
+        is_pressed = self._gauge.is_high(
             service,
-            in_flight_count + self._on_their_way.get(service, 0),
+            in_flight_count + self._unplaced_counts.get(service, 0),
             self._groups.entry_count,
             sum(self._groups.count_slots(service).values()),
             now_s,
         )
-        if pressed != (service in self._pressed):
-            (self._pressed.add if pressed else self._pressed.discard)(service)
+        if is_pressed != (service in self._pressed_services):
+            (
+                self._pressed_services.add
+                if is_pressed
+                else self._pressed_services.discard
+            )(service)
             log.info(
-                Event.PRESSURE_BEGINS if pressed else Event.PRESSURE_ENDS,
+                Event.PRESSURE_BEGINS if is_pressed else Event.PRESSURE_ENDS,
                 service=service,
                 in_flight=in_flight_count,
                 entries=self._groups.entry_count,
                 dispatchers=len(self._groups.dispatchers),
             )
-        return pressed
-
-    # -- what becomes of them -----------------------------------------------------
+        return is_pressed
 
-    def asked_s(self, key: FlowKey) -> float | None:
-        """Tell when a relayed opening, or its last copy, was sent.
+    def unplaced_sent_s(self, key: FlowKey) -> float | None:
+        """Return when a relayed opening, or its latest copy, was sent.
 
         Parameters
         ----------
@@ -281,57 +281,59 @@
         Returns
         -------
         float or None
-            None if it was not relayed, or is known to be placed.
+            None if it was not relayed, or has been placed.
         """
-        known = self._relayed.get(key)
-        return known.last_s if known is not None and not known.placed else None
+        flow = self._flows.get(key)
+        return flow.last_sent_s if flow is not None and not flow.is_placed else None
 
-    def note_packet(self, key: FlowKey, busy: bool, over: bool) -> None:
-        """Note what a packet of an open flow shows.
+    def on_packet(self, key: FlowKey, is_busy: bool, is_over: bool) -> None:
+        """Update a relayed flow by a packet of its caller.
 
         Parameters
         ----------
         key : FlowKey
             The flow.
-        busy : bool
+        is_busy : bool
             Whether a request waits for its answer.
-        over : bool
-            Whether the flow is.
+        is_over : bool
+            Whether the flow has ended.
         """
-        known = self._relayed.get(key)
-        if known is None:
+        flow = self._flows.get(key)
+        if flow is None:
             return
-        if not known.placed:
-            known.placed = True
-            self._uncount(known)
-            self.note_alive(known.dispatcher, known.last_s)
-        if over or (known.busy and not busy):
-            self._tell_end(key, known.dispatcher)
-            self._forget(key)
-        known.busy = busy
-
-    def note_alive(self, dispatcher: bytes, since_s: float) -> None:
-        """Note that a dispatcher placed an opening, or has some wait.
+        if not flow.is_placed:
+            flow.is_placed = True
+            self._uncount_unplaced(flow)
+            self.record_liveness(flow.dispatcher, flow.last_sent_s)
+        if is_over or (flow.is_busy and not is_busy):
+            self._send_end(key, flow.dispatcher)
+            self._delete(key)
+        flow.is_busy = is_busy
+
+    def record_liveness(self, dispatcher: bytes, since_s: float) -> None:
+        """Record a sign of life of a dispatcher.
 
         Parameters
         ----------
         dispatcher : bytes
             Its packed address.
         since_s : float
-            When it is known to have lived: no later than it got the opening.
+            Time at which it was alive, not after it received the opening.
         """
-        self._alive_s[dispatcher] = max(since_s, self._alive_s.get(dispatcher, -inf))
+        self._last_alive_s[dispatcher] = max(
+            since_s, self._last_alive_s.get(dispatcher, -inf)
+        )
         self._misses.pop(dispatcher, None)
-        lost_s, _ = self._distrusted_s.get(dispatcher, (inf, 0.0))
-        if since_s >= lost_s:
-            del self._distrusted_s[dispatcher]
+        lost_sent_s, _ = self._suspicions_s.get(dispatcher, (inf, 0.0))
+        if since_s >= lost_sent_s:
+            del self._suspicions_s[dispatcher]
 
-    def _tell_end(self, key: FlowKey, dispatcher: bytes) -> None:
+    def _send_end(self, key: FlowKey, dispatcher: bytes) -> None:
         ended = WorkEnded(flows=[pack_flow(key)])
         self._send(RegistryMessage(ended=ended), dispatcher)
 
-    def take_back(self, key: FlowKey) -> bool:
-        """Note that a dispatcher does not place an opening; this instance does.
+    def on_return(self, key: FlowKey) -> bool:
+        """Delete a relayed opening that its dispatcher has returned or refused.
 
         Parameters
         ----------
@@ -341,49 +343,52 @@
         Returns
         -------
         bool
-            False if that is no news: it has been placed, or given back before.
+            False if it has been placed, or returned before.
         """
-        known = self._relayed.get(key)
-        if known is None or known.placed:
+        flow = self._flows.get(key)
+        if flow is None or flow.is_placed:
             return False
         self._counters["openings_returned"] += 1
-        self.note_alive(known.dispatcher, known.last_s)
-        self._forget(key)
+        self.record_liveness(flow.dispatcher, flow.last_sent_s)
+        self._delete(key)
         return True
 
-    def _forget(self, key: FlowKey) -> None:
-        self._uncount(self._relayed.pop(key))
-
-    def _count(self, known: _Relayed) -> None:
-        if not known.counted:
-            known.counted = True
-            count = self._on_their_way.get(known.service, 0)
-            self._on_their_way[known.service] = count + 1
-        self._sent.append((known.last_s, known))
-
-    def _uncount(self, known: _Relayed) -> None:
-        if known.counted:
-            known.counted = False
-            self._on_their_way[known.service] -= 1
-
-    def _uncount_old(self, now_s: float) -> None:
-        """Count no longer those that were lost, or whose callers were refused."""
-        while self._sent and now_s - self._sent[0][0] > _ON_ITS_WAY_S:
-            sent_s, known = self._sent.popleft()
-            if known.last_s == sent_s:
-                self._uncount(known)
-
-    def wake(self) -> None:
-        """Judge nobody by what was sent before a pause of this instance."""
-        self._awake_since_s = self._now_s()
+    def _delete(self, key: FlowKey) -> None:
+        self._uncount_unplaced(self._flows.pop(key))
+
+    def _count_unplaced(self, flow: _RelayedFlow) -> None:
+        if not flow.is_counted:
+            flow.is_counted = True
+            count = self._unplaced_counts.get(flow.service, 0)
+            self._unplaced_counts[flow.service] = count + 1
+        self._recently_sent.append((flow.last_sent_s, flow))
+
+    def _uncount_unplaced(self, flow: _RelayedFlow) -> None:
+        if flow.is_counted:
+            flow.is_counted = False
+            self._unplaced_counts[flow.service] -= 1
+
+    def _uncount_outdated(self, now_s: float) -> None:
+        """Stop counting openings that were lost or refused as unplaced."""
+        while (
+            self._recently_sent
+            and now_s - self._recently_sent[0][0] > _UNPLACED_WINDOW_S
+        ):
+            sent_s, flow = self._recently_sent.popleft()
+            if flow.last_sent_s == sent_s:
+                self._uncount_unplaced(flow)
+
+    def on_resume(self) -> None:
+        """Ignore openings from before a pause of this instance as evidence of loss."""
+        self._resumed_s = self._now_s()
 
     def sweep(self) -> None:
-        """Forget what was relayed long ago; to be called about once a second."""
-        self._uncount_old(self._now_s())
-        oldest_s = self._now_s() - _FORGET_S
-        for key, known in list(self._relayed.items()):
-            if known.last_s < oldest_s:
-                self._forget(key)
-        for by_dispatcher in (self._alive_s, self._distrusted_s, self._misses):
+        """Delete outdated flows; to be called about once a second."""
+        self._uncount_outdated(self._now_s())
+        min_sent_s = self._now_s() - _RETENTION_S
+        for key, flow in list(self._flows.items()):
+            if flow.last_sent_s < min_sent_s:
+                self._delete(key)
+        for by_dispatcher in (self._last_alive_s, self._suspicions_s, self._misses):
             for dispatcher in set(by_dispatcher) - set(self._groups.dispatchers):
                 del by_dispatcher[dispatcher]
--- a/src/agatethread/datapath/_shared_placing.py
+++ b/src/agatethread/datapath/_shared_placing.py
@@ -1,7 +1,7 @@
-"""Placing that the entry instances of a failure domain share under pressure.
+"""Shares the placing of openings among the entry instances of a failure domain.
 
-Joins the two sides of it in one instance: it relays the openings of its own callers,
-and it is a dispatcher for some backend servers if control instances chose it.
+An instance relays the openings of its own callers, and is the dispatcher of some
+backend servers if control instances chose it.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -14,7 +14,7 @@
 from agatethread.datapath._handing_over import OtherDispatchers
 from agatethread.datapath._packets import FlowKey, Packet, unpack_flow
 from agatethread.datapath._relaying import OpeningRelay
-from agatethread.datapath._taken import Hands
+from agatethread.datapath._taken import OpeningActions
 from agatethread.exceptions import DatagramError
 from agatethread.observability import Counters, Histogram
 from agatethread.routing import Route, RouteTable
@@ -26,15 +26,15 @@
     ReturnedOpening,
 )
 
-#: A pause in which this instance can't have run: its timers call it each 0.05 s. What
-#: was relayed to it before is of no use, since callers' copies come after 0.2 s.
-_PAUSE_S = 0.2
-#: How long it takes to read what had come to its socket meanwhile.
+#: Interval between calls that shows a pause of this instance, several timer intervals.
+#: Callers have sent copies of openings that were relayed before it.
+_MIN_PAUSE_S = 0.2
+#: Time to read the messages that arrived during a pause.
 _CATCH_UP_S = 0.1
 
 
 class SharedPlacing:
-    """Handles what entry instances tell each other of openings.
+    """Handles the messages of entry instances about openings.
 
     Parameters
     ----------
@@ -43,19 +43,19 @@
     failure_domain : str
         Of this instance.
     runs_of : callable
-        Lists a service's runs.
-    may_take : callable
-        Tells whether a run may be given a new flow.
+        Returns a service's runs.
+    is_candidate : callable
+        Returns whether a run may receive a new flow.
     decode : callable
-        Reads a caller's packet; raises `DatagramError`.
+        Decodes a caller's packet; raises `DatagramError`.
     table : callable
         Returns the routing table in force.
-    hands : Hands
-        What is done with an opening.
+    actions : OpeningActions
+        Forwards openings and sends messages.
     place_here : callable
         Places an opening by this instance's own counts.
     refuse : callable
-        Tells a caller that its flow is not taken on, and why.
+        Refuses a caller's flow with a reason.
     now_s : callable
         Monotonic clock.
     counters : Counters
@@ -69,10 +69,10 @@
         own_address: bytes,
         failure_domain: str,
         runs_of: Callable[[str], Sequence[Backend]],
-        may_take: Callable[[Backend], bool],
+        is_candidate: Callable[[Backend], bool],
         decode: Callable[[bytes], Packet],
         table: Callable[[], RouteTable],
-        hands: Hands,
+        actions: OpeningActions,
         place_here: Callable[[Packet], None],
         refuse: Callable[[Packet, str], None],
         now_s: Callable[[], float],
@@ -83,22 +83,22 @@
         self._failure_domain = failure_domain
         self._decode = decode
         self._table = table
-        self._send_away = hands.send
+        self._send_remote = actions.send
         self._place_here = place_here
         self._refuse = refuse
         self._counters = counters
         self._now_s = now_s
-        self._ran_s = now_s()
-        #: Until when what is read may be as old as the last pause.
-        self._behind_until_s = now_s()
-        self._groups = ServerGroups(failure_domain, runs_of, may_take, now_s)
+        self._last_run_s = now_s()
+        #: Until then messages may be older than the latest pause.
+        self._catching_up_until_s = now_s()
+        self._groups = ServerGroups(failure_domain, runs_of, is_candidate, now_s)
         self._others = OtherDispatchers(own_address, failure_domain, now_s)
-        own_hands = replace(hands, send=self._send)
+        own_actions = replace(actions, send=self._send)
         self.dispatcher = OpeningDispatcher(
             own_address,
             self._groups,
             self._others,
-            own_hands,
+            own_actions,
             now_s,
             counters,
             policies,
@@ -108,46 +108,46 @@
         )
 
     def _send(self, message: RegistryMessage, address: bytes) -> None:
-        """Send a message; one to this instance itself needs no network."""
+        """Send a message, to this instance itself without the network."""
         if address == self._own_address:
             self.on_message(message, address)
         else:
-            self._send_away(message, address)
+            self._send_remote(message, address)
 
-    def take_dispatchers(self, told: Mapping[str, Dispatchers]) -> None:
-        """Take who places openings in each failure domain.
+    def take_dispatchers(self, dispatchers: Mapping[str, Dispatchers]) -> None:
+        """Store the dispatchers of each failure domain.
 
         Parameters
         ----------
-        told : mapping of str to Dispatchers
+        dispatchers : mapping of str to Dispatchers
             By failure domain.
         """
-        self._groups.take(told.get(self._failure_domain))
-        self._others.take(told)
+        self._groups.set_dispatchers(dispatchers.get(self._failure_domain))
+        self._others.set_dispatchers(dispatchers)
 
     def relay(self, packet: Packet, service: str) -> bool:
-        """Relay an opening of a caller, if it is better placed elsewhere.
+        """Relay an opening of a caller to a dispatcher under pressure.
 
         Parameters
         ----------
         packet : Packet
             The opening.
         service : str
-            Where it goes.
+            The chosen service.
 
         Returns
         -------
         bool
-            False if this instance is to place it.
+            False if this instance has to place it.
         """
-        if self._is_behind():
+        if self._is_catching_up():
             return False
         return self._relay.relay(packet, service, self._table().version)
 
     def adopt(self, key: FlowKey, backend: Backend, loads: FlowLoads) -> None:
-        """Record a relayed flow as if it had been placed here.
+        """Record a relayed flow like one that this instance placed.
 
-        To be called before a packet of an open flow is noted: that it comes shows that
+        To be called before a packet of an open flow is recorded: the packet shows that
         the backend server has answered the opening.
 
         Parameters
@@ -157,14 +157,14 @@
         backend : Backend
             The run that its label names.
         loads : FlowLoads
-            Where flows are recorded.
+            Stores the flows.
         """
-        asked_s = self._relay.asked_s(key)
-        if asked_s is not None and loads.find(key) is None:
-            loads.open(key, backend, asked_s)
+        sent_s = self._relay.unplaced_sent_s(key)
+        if sent_s is not None and loads.find(key) is None:
+            loads.open(key, backend, sent_s)
 
     def note_packet(self, key: FlowKey, busy: bool, over: bool) -> None:
-        """Note what a packet of an open flow shows.
+        """Update a relayed flow by a packet of its caller.
 
         Parameters
         ----------
@@ -173,30 +173,28 @@
         busy : bool
             Whether a request waits for its answer.
         over : bool
-            Whether the flow is.
+            Whether the flow has ended.
         """
-        self._relay.note_packet(key, busy, over)
-
-    # -- messages -----------------------------------------------------------------
+        self._relay.on_packet(key, busy, over)
 
     def on_message(self, message: RegistryMessage, source: bytes) -> None:
-        """Take what another entry instance, or this one itself, tells.
+        """Handle a message of another entry instance, or of this one itself.
 
         Parameters
         ----------
         message : RegistryMessage
-            The message; others than those of openings are left alone.
+            The message; ignored unless it is about openings.
         source : bytes
             Packed address of the sender.
 
         Raises
         ------
         DatagramError
-            If a packet in it is none.
+            If a packet in it is malformed.
         """
-        is_behind = self._is_behind()
+        is_catching_up = self._is_catching_up()
         body = message.WhichOneof("body")
-        if body == "relayed" and is_behind:
+        if body == "relayed" and is_catching_up:
             self._counters["relayed_too_old"] += 1
         elif body == "relayed":
             self._on_relayed(message.relayed, source)
@@ -205,7 +203,7 @@
         elif body == "ended":
             self._on_ended(message)
         elif body == "load":
-            self._relay.note_alive(source, self._now_s())
+            self._relay.record_liveness(source, self._now_s())
             self._others.on_load(message.load, source)
 
     def _on_relayed(self, relayed: RelayedOpening, source: bytes) -> None:
@@ -213,12 +211,12 @@
         if not packet.opens:
             raise DatagramError("relayed packet opens no flow")
         route = self._find_route(packet, relayed)
-        if route is None or not self.dispatcher.places_for(relayed.service):
-            # Only under the same table both read the route alike.
+        if route is None or not self.dispatcher.serves(relayed.service):
+            # Under another table the sender may have used another route.
             returned = ReturnedOpening(opening=relayed)
             self._send(RegistryMessage(returned=returned), source)
             return
-        self.dispatcher.take(packet, route, relayed, source)
+        self.dispatcher.receive(packet, route, relayed, source)
 
     def _find_route(self, packet: Packet, relayed: RelayedOpening) -> Route | None:
         table = self._table()
@@ -234,19 +232,19 @@
         opening = returned.opening
         packet = self._decode(opening.packet)
         if returned.refused:
-            if self._relay.take_back(packet.key):
+            if self._relay.on_return(packet.key):
                 self._refuse(packet, "no_room")
             return
         if not opening.origin:
-            if self._relay.take_back(packet.key):
+            if self._relay.on_return(packet.key):
                 self._place_here(packet)
             return
-        # It was handed over from here.
-        if self._others.take_given(packet.key) is None:
+        # This instance handed the opening over.
+        if self._others.pop_handover(packet.key) is None:
             return
         route = self._find_route(packet, opening)
-        if route is not None and self.dispatcher.places_for(opening.service):
-            self.dispatcher.take(packet, route, opening, self._own_address)
+        if route is not None and self.dispatcher.serves(opening.service):
+            self.dispatcher.receive(packet, route, opening, self._own_address)
         else:
             self._place_here(packet)
 
@@ -258,37 +256,33 @@
             else:
                 self.dispatcher.on_end(key)
 
-    # -- time ---------------------------------------------------------------------
-
-    def _is_behind(self) -> bool:
-        """Tell whether what is read now may have come before a pause."""
+    def _is_catching_up(self) -> bool:
+        """Return whether messages read now may have arrived during a pause."""
         now_s = self._now_s()
-        if now_s - self._ran_s > _PAUSE_S:
-            self._behind_until_s = now_s + _CATCH_UP_S
-            self.dispatcher.forget()
-            self._relay.wake()
-        self._ran_s = now_s
-        return now_s < self._behind_until_s
+        if now_s - self._last_run_s > _MIN_PAUSE_S:
+            self._catching_up_until_s = now_s + _CATCH_UP_S
+            self.dispatcher.reset()
+            self._relay.on_resume()
+        self._last_run_s = now_s
+        return now_s < self._catching_up_until_s
 
     def tick(self) -> None:
-        """Place or refuse those who wait; to be called some 20 times a second."""
-        self._is_behind()
+        """Place or refuse waiting openings; to be called about 20 times a second."""
+        self._is_catching_up()
         self.dispatcher.tick()
 
     def sweep(self) -> None:
-        """Forget what is over; to be called about once a second."""
+        """Delete outdated entries; to be called about once a second."""
         self._relay.sweep()
         self.dispatcher.sweep()
 
-    # -- measures -----------------------------------------------------------------
-
     def gauges(self) -> dict[str, Callable[[], float]]:
-        """Name what is measured of openings under pressure.
+        """Return the gauges of openings under pressure by name.
 
         Returns
         -------
         dict of str to callable
-            Read when somebody asks for metrics.
+            Called when metrics are read.
         """
         return {
             "openings_in_line": lambda: float(self.dispatcher.waiting_count()),
@@ -297,11 +291,11 @@
         }
 
     def histograms(self) -> dict[str, Histogram]:
-        """Name the times that are measured.
+        """Return the histograms by name.
 
         Returns
         -------
         dict of str to Histogram
-            How long callers of dispatched openings had waited.
+            Time that callers of dispatched openings had waited.
         """
         return {"opening_waited_s": self.dispatcher.waited_s}
--- a/src/agatethread/datapath/_taken.py
+++ b/src/agatethread/datapath/_taken.py
@@ -1,4 +1,4 @@
-"""An opening that was relayed to a dispatcher, and what can be done with it."""
+"""Openings that a dispatcher has received, and the actions it can take."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -10,18 +10,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Hands:
-    """What a dispatcher does through the instance that it is part of.
+class OpeningActions:
+    """Actions of a dispatcher through its instance.
 
     Attributes
     ----------
     forward : callable
-        Sends an opening to a backend server; also gets the runs that did not answer it,
-        and how long its caller has waited.
+        Sends an opening to a backend server; also receives the runs that did not answer
+        it, and the seconds that its caller has waited.
     send : callable
         Sends a registry message to a packed address.
     table_version : callable
-        Tells the version of the routing table in force.
+        Returns the version of the routing table in force.
     """
 
     forward: Callable[[Packet, Backend, Sequence[Backend], float], None]
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class ReceivedOpening:
     """An opening that was relayed to this instance."""
 
     packet: Packet
@@ -50,19 +50,19 @@
         return self.relayed.origin or self.sender
 
 
-def hand_on(
-    taken: Taken, crosses: bool, waited_s: float, table_version: int
+def make_handover(
+    received: ReceivedOpening, crosses: bool, waited_s: float, table_version: int
 ) -> RelayedOpening:
-    """Write an opening for another dispatcher.
+    """Return the message that hands an opening over to another dispatcher.
 
     Parameters
     ----------
-    taken : Taken
+    received : ReceivedOpening
         The opening.
     crosses : bool
-        Whether that one is in another failure domain.
+        Whether that dispatcher is in another failure domain.
     waited_s : float
-        How long its caller has waited.
+        Time that its caller has waited.
     table_version : int
         Of the routing table in force.
 
@@ -72,11 +72,11 @@
         The message.
     """
     return RelayedOpening(
-        packet=taken.packet.data,
-        service=taken.service,
+        packet=received.packet.data,
+        service=received.service,
         table_version=table_version,
-        hops=0 if crosses else taken.relayed.hops + 1,
+        hops=0 if crosses else received.relayed.hops + 1,
         waited_ms=round(1000 * max(0.0, waited_s)),
-        origin=taken.origin,
-        crossed=crosses or taken.relayed.crossed,
+        origin=received.origin,
+        crossed=crosses or received.relayed.crossed,
     )
--- a/src/agatethread/datapath/_weights.py
+++ b/src/agatethread/datapath/_weights.py
@@ -1,4 +1,4 @@
-"""What share of new work control instances leave to each run, as told to this one."""
+"""Stores the weights that control instances assign to runs."""
 
 from collections.abc import Callable
 
@@ -6,95 +6,96 @@
 from agatethread.observability import Event, make_logger
 from agatethread.wire.registry_pb2 import RunWeights
 
-#: What was told is believed for so long: control instances say it again each 0.2 s.
-#: When nobody says anything any more, a run gets its whole share: callers are better
-#: served by a slow run than by too few.
-BELIEVED_S = 1.5
+#: Validity of received weights, which are sent more often. Without renewal a run gets
+#: its full share, since a slow run serves callers better than too few runs.
+WEIGHT_VALIDITY_S = 1.5
 
-#: Runs with no more than this get trials only.
-_TRIALS_PERCENT = 10
+#: Up to this weight a run receives trial flows only.
+_TRIAL_PERCENT = 10
 
 log = make_logger("weights")
 
 
-class WeightBook:
-    """The runs that get less than their share.
+class RunWeightStore:
+    """Applies weights to runs, and stores those with less than their full share.
 
     Parameters
     ----------
     find : callable
-        Finds a run by its label.
+        Returns the run of a label, if known.
     """
 
     def __init__(self, find: Callable[[int], Backend | None]):
         self._find = find
-        self._weighed: set[Backend] = set()
+        self._reduced: set[Backend] = set()
 
     def __len__(self) -> int:
-        return len(self._weighed)
+        return len(self._reduced)
 
-    def take(self, weights: RunWeights, now_s: float) -> None:
-        """Take what a control instance tells, in place of what was told before.
+    def apply(self, weights: RunWeights, now_s: float) -> None:
+        """Apply the weights of a control instance in place of the earlier ones.
 
         Parameters
         ----------
         weights : RunWeights
-            All runs with less than their share.
+            All runs with less than their full share.
         now_s : float
             Present time.
         """
-        weighed: set[Backend] = set()
-        for one in weights.runs:
-            backend = self._find(one.label)
-            if backend is None or backend.label != one.label:
-                # An earlier run of the same server: nothing is held of the later one.
+        reduced: set[Backend] = set()
+        for run_weight in weights.runs:
+            backend = self._find(run_weight.label)
+            if backend is None or backend.label != run_weight.label:
+                # The weight is that of an earlier run of the same server.
                 continue
-            weighed.add(backend)
-            _weigh(backend, min(one.percent, 100), now_s)
-        for backend in self._weighed - weighed:
-            _weigh(backend, 100, now_s)
-        self._weighed = weighed
+            reduced.add(backend)
+            _set_weight(backend, min(run_weight.percent, 100), now_s)
+        for backend in self._reduced - reduced:
+            _set_weight(backend, 100, now_s)
+        self._reduced = reduced
 
     def sweep(self, now_s: float) -> None:
-        """Forget what is not believed any more.
+        """Reset weights that were not renewed in time.
 
         Parameters
         ----------
         now_s : float
             Present time.
         """
-        for backend in [one for one in self._weighed if one.weighed_until_s <= now_s]:
-            _weigh(backend, 100, now_s)
-            self._weighed.discard(backend)
+        for backend in [run for run in self._reduced if run.weighed_until_s <= now_s]:
+            _set_weight(backend, 100, now_s)
+            self._reduced.discard(backend)
 
     def dump(self) -> dict[str, float]:
-        """List the weights for a state dump.
+        """Return the weights for a state dump.
 
         Returns
         -------
         dict of str to float
-            By the run's id; runs with all of their share are left out.
+            By the run's id; runs with their full share are left out.
         """
-        return {one.id: one.weight for one in sorted(self._weighed, key=_id_of)}
+        return {
+            backend.id: backend.weight for backend in sorted(self._reduced, key=_id_of)
+        }
 
 
 def _id_of(backend: Backend) -> str:
     return backend.id
 
 
-def _weigh(backend: Backend, percent: int, now_s: float) -> None:
-    before = round(100 * backend.weight)
+def _set_weight(backend: Backend, percent: int, now_s: float) -> None:
+    percent_before = round(100 * backend.weight)
     backend.weight = percent / 100
-    backend.weighed_until_s = now_s + BELIEVED_S
-    if _stage(percent) != _stage(before):
+    backend.weighed_until_s = now_s + WEIGHT_VALIDITY_S
+    if _stage(percent) != _stage(percent_before):
         log.info(
             Event.BACKEND_WEIGHED,
             run=backend.id,
             percent=percent,
-            percent_before=before,
+            percent_before=percent_before,
         )
 
 
 def _stage(percent: int) -> int:
-    """Tell trials, some and all of its share apart; a line a step would be too much."""
-    return (percent > _TRIALS_PERCENT) + (percent >= 100)
+    """Return the stage of a weight, logged on change: trials, partial or full."""
+    return (percent > _TRIAL_PERCENT) + (percent >= 100)
--- a/tests/datapath/test_answers.py
+++ b/tests/datapath/test_answers.py
@@ -5,12 +5,12 @@
 from hypothesis import strategies as st
 
 from agatethread.datapath import Backend, FlowLoads
-from agatethread.datapath._answers import AnswerWatch, slow_after_s
+from agatethread.datapath._answers import AnswerWatch, slow_threshold_s
 from tests.datapath.worlds import opening, packet, run
 
 
 class TestAnswerWatch(unittest.TestCase):
-    """What is told of flows, as their packets pass."""
+    """Answers that are counted from the packets of flows."""
 
     def setUp(self):
         self.loads = FlowLoads(100)
@@ -22,7 +22,7 @@
         self.collect()
 
     def request(self, took_s, size=1_000, end="answer", backend=None):
-        """One request on a flow of its own; how it ends."""
+        """Send a request on a new flow, which ends as named."""
         backend = backend or self.backend
         self.port += 1
         self.loads.open(opening(self.port).key, backend, self.now_s)
@@ -42,60 +42,60 @@
         self.loads.note(packet(self.port, **fields), backend, self.now_s)
 
     def collect(self, step_s=0.2):
-        """What is told: answers, slow and failed ones, of the first backend server."""
+        """Return answers, slow and failed ones, of the first backend server."""
         self.now_s = self.watch._collected_s + step_s
         sums = self.watch.collect(self.now_s)
-        for one in sums.runs if sums else ():
-            if one.label == self.backend.label:
-                return one.answers, one.slow, one.failed
+        for answer_sum in sums.runs if sums else ():
+            if answer_sum.label == self.backend.label:
+                return answer_sum.answers, answer_sum.slow, answer_sum.failed
         return None
 
-    def test_answers_are_judged_by_what_is_usual_for_the_route(self):
-        """Three times the usual is slow; nothing is told twice."""
+    def test_compares_answer_with_usual_one_of_route(self):
+        """Three times the usual time is slow, and is reported once."""
         self.request(0.05)
         self.request(0.10)
         self.request(0.2, end="close")
         self.assertEqual(self.collect(), (3, 1, 0))
         self.assertIsNone(self.collect())
 
-    def test_nothing_is_judged_before_it_is_known_what_is_usual(self):
-        """The first answers of a route only teach."""
+    def test_counts_no_answer_before_baseline_is_known(self):
+        """The first answers of a route only set its baseline."""
         watch = AnswerWatch(lambda *_: inf, 0.0)
         self.loads.watch = watch
         self.request(2.0)
         self.assertIsNone(watch.collect(0.2))
 
-    def test_request_that_waits_is_told_once(self):
-        """As soon as it has waited too long, and not again with its answer."""
+    def test_counts_waiting_request_once(self):
+        """It is slow once it has waited too long, and not again when answered."""
         self.request(0.0, end="")
         self.assertIsNone(self.collect(0.1))
         self.assertEqual(self.collect(0.1), (1, 1, 0))
         self.note(self.backend, acknowledged=900)
         self.assertIsNone(self.collect())
 
-    def test_request_sent_again_waits_from_its_first_packet(self):
-        """A copy does not make a slow answer look fast."""
+    def test_measures_retransmitted_request_from_first_packet(self):
+        """A retransmission does not shorten the measured time."""
         self.request(0.25, end="")
         self.note(self.backend, payload_bytes=80)
         self.now_s += 0.05
         self.note(self.backend, acknowledged=900)
         self.assertEqual(self.collect(0.4), (1, 1, 0))
 
-    def test_flow_that_ends_without_an_answer_has_failed(self):
-        """So has an answer far too short to be whole."""
+    def test_counts_flow_without_answer_as_failed(self):
+        """An answer far shorter than usual has failed too."""
         self.request(0.05, end="give up")
         self.request(0.05, size=150)
         self.request(0.05)
         self.assertEqual(self.collect(), (3, 0, 2))
 
-    def test_opening_that_goes_to_another_server_has_failed(self):
-        """The caller has sent it again, and nobody answered."""
+    def test_counts_opening_retried_elsewhere_as_failed(self):
+        """A copy that goes to another run is a failure of the first one."""
         self.loads.open(opening(99).key, self.backend, self.now_s)
         self.loads.open(opening(99, copy=1).key, self.other, self.now_s)
         self.assertEqual(self.collect(), (1, 0, 1))
 
-    def test_acknowledgement_with_the_next_request_says_nothing_of_time(self):
-        """It may have been held back; only a fast one is known to be."""
+    def test_ignores_slow_acknowledgement_with_next_request(self):
+        """It may have been delayed by the caller, so only a fast one counts."""
         self.request(0.15, end="next request")
         self.loads.forget(packet(self.port).key)
         self.assertIsNone(self.collect())
@@ -103,23 +103,23 @@
         self.loads.forget(packet(self.port).key)
         self.assertEqual(self.collect(), (1, 0, 0))
 
-    def test_instance_that_was_slow_itself_tells_nothing(self):
-        """What it read late says nothing of backend servers."""
+    def test_discards_answers_after_own_delay(self):
+        """Packets that were read late do not measure backend servers."""
         self.request(0.3)
         self.request(0.0, end="")
         self.assertIsNone(self.collect(0.9))
         self.assertIsNone(self.collect())
 
-    def test_forgotten_flows_leave_nothing_behind(self):
-        """What waits is bounded by the flows that are recorded."""
+    def test_deletes_pending_request_with_its_flow(self):
+        """Pending requests are bounded by the recorded flows."""
         for _ in range(300):
             self.request(0.0, end="")
-        self.assertLessEqual(len(self.watch._waiting), 100)
+        self.assertLessEqual(len(self.watch._pending), 100)
         self.loads.sweep(self.now_s + 60.0)
-        self.assertEqual(self.watch._waiting, {})
+        self.assertEqual(self.watch._pending, {})
 
-    def test_route_that_turns_slower_is_usual_soon(self):
-        """A service that is slow as a whole is not judged by its past for ever."""
+    def test_adapts_baseline_to_slower_route(self):
+        """A route that is slow as a whole becomes usual."""
         for _ in range(40):
             self.request(0.2)
         self.collect(0.2)
@@ -127,16 +127,16 @@
         self.assertEqual(self.collect(), (1, 0, 0))
 
     @given(st.floats(1e-4, 10.0), st.floats(0.01, 10.0) | st.just(inf))
-    def test_limit_lies_between_the_usual_and_the_aim(self, usual_s, aim_s):
-        """Nobody minds less than a part of the aim, and all mind more than it."""
-        limit_s = slow_after_s(usual_s, aim_s)
+    def test_slow_threshold_lies_between_usual_time_and_aim(self, usual_s, aim_s):
+        """It is at least a quarter of the aim, and at most the aim."""
+        limit_s = slow_threshold_s(usual_s, aim_s)
         self.assertLessEqual(limit_s, aim_s)
         self.assertTrue(limit_s >= usual_s or limit_s == aim_s)
         if aim_s < inf:
             self.assertGreaterEqual(limit_s, aim_s / 4)
 
-    def test_nothing_is_watched_unless_it_is_asked_for(self):
-        """Without a watch flows are counted as ever."""
+    def test_counts_nothing_without_monitor(self):
+        """Flows are recorded without an answer monitor too."""
         self.loads.watch = None
         self.request(5.0, end="give up")
         self.assertIsNone(self.collect())
--- a/tests/datapath/test_dispatching.py
+++ b/tests/datapath/test_dispatching.py
@@ -4,159 +4,163 @@
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._dispatching import OpeningDispatcher
 from agatethread.datapath._handing_over import OtherDispatchers
-from agatethread.datapath._taken import Hands
+from agatethread.datapath._taken import OpeningActions
 from agatethread.observability import Counters
 from agatethread.wire.registry_pb2 import DispatcherLoad, Dispatchers, RelayedOpening
 from tests.datapath.crowds import route
 from tests.datapath.worlds import opening, run
 from tests.fakes import Clock, address
 
-ME, NEAR, FAR = address(1), address(2), address(3)
+OWN, PEER, REMOTE = address(1), address(2), address(3)
 
 
 class TestDispatcher(unittest.TestCase):
-    """A dispatcher of one server with five places."""
+    """Decisions of a dispatcher with one server of five places."""
 
     def setUp(self):
         self.clock = Clock()
         self.server = Backend(run(1, slots=1))
         self.servers = [self.server]
-        self.others = OtherDispatchers(ME, "a", self.clock)
+        self.others = OtherDispatchers(OWN, "a", self.clock)
         self.sent = []
         self.forward = mock.Mock()
         self.groups = groups = mock.Mock(
             usable=lambda service, own: self.servers,
-            count_slots=lambda service: {ME: 2},
+            count_slots=lambda service: {OWN: 2},
         )
-        hands = Hands(
+        actions = OpeningActions(
             self.forward,
             lambda message, target: self.sent.append((message, target)),
             lambda: 1,
         )
         self.dispatcher = OpeningDispatcher(
-            ME, groups, self.others, hands, self.clock, Counters()
+            OWN, groups, self.others, actions, self.clock, Counters()
         )
 
-    def take(self, port, copy=0):
+    def receive(self, port, copy=0):
         relayed = RelayedOpening(service="tab", waited_ms=200 * copy)
-        self.dispatcher.take(opening(port, copy=copy), route(1), relayed, NEAR)
+        self.dispatcher.receive(opening(port, copy=copy), route(1), relayed, PEER)
 
-    def told(self, body):
-        """Where messages of a kind went."""
+    def targets_of(self, body):
+        """Return the targets of the sent messages of a kind."""
         return [to for message, to in self.sent if message.WhichOneof("body") == body]
 
-    def test_waiting_are_given_back_when_servers_are_gone(self):
-        """Who waits for servers that are gone from here is placed by its sender."""
+    def test_returns_waiting_openings_without_servers(self):
+        """Waiting openings go back to their sender when all servers are gone."""
         for port in range(7):
-            self.take(port)
+            self.receive(port)
         self.servers.clear()
         self.dispatcher.tick()
-        self.assertEqual(self.told("returned"), [NEAR, NEAR])
+        self.assertEqual(self.targets_of("returned"), [PEER, PEER])
         self.assertEqual(self.dispatcher.waiting_count(), 0)
 
-    def test_port_used_anew_is_no_failure(self):
-        """A first opening from a port that had a place says nothing of the server."""
-        self.take(1)
+    def test_counts_no_failure_for_reused_port(self):
+        """A first opening from a port that had a place is another flow."""
+        self.receive(1)
         self.clock.value_s += 0.2
-        self.take(1)
+        self.receive(1)
         self.assertEqual(self.server.failures, 0)
-        self.take(1, copy=1)
+        self.receive(1, copy=1)
         self.assertEqual(self.server.failures, 1)
 
-    def test_same_packet_takes_one_place(self):
-        """A packet that comes twice is placed once."""
-        self.take(1)
-        self.take(1)
+    def test_places_duplicate_packet_once(self):
+        """A packet that arrives twice is forwarded once."""
+        self.receive(1)
+        self.receive(1)
         self.assertEqual(self.forward.call_count, 1)
 
-    def test_ends_show_that_a_server_answers(self):
-        """Two lost openings don't make a server avoided that answers others."""
-        self.take(1)
-        self.take(2)
-        self.take(3)
+    def test_end_counts_as_answer_of_server(self):
+        """A server that answers other openings is not avoided for two lost ones."""
+        self.receive(1)
+        self.receive(2)
+        self.receive(3)
         self.clock.value_s += 0.05
         self.dispatcher.on_end(opening(3).key)
         self.clock.value_s += 0.15
-        self.take(1, copy=1)
-        self.take(2, copy=1)
+        self.receive(1, copy=1)
+        self.receive(2, copy=1)
         self.assertEqual(self.server.failures, 0)
 
-    def test_places_given_up_show_that_a_server_is_gone(self):
-        """A server whose openings all come to no end is avoided."""
-        self.take(1)
-        self.take(2)
+    def test_avoids_server_after_expired_places(self):
+        """A server is avoided when none of its openings end."""
+        self.receive(1)
+        self.receive(2)
         self.clock.value_s += 0.31
         self.dispatcher.tick()
         self.assertGreater(self.server.penalty_until_s, self.clock())
 
-    def test_avoided_server_is_tried_where_nobody_else_is(self):
-        """Whether it answers again shows only if it gets an opening."""
+    def test_tries_avoided_server_without_alternative(self):
+        """The only server gets an opening although it is avoided."""
         self.server.penalty_until_s = self.clock() + 1.0
-        self.take(1)
+        self.receive(1)
         self.assertEqual(self.forward.call_count, 1)
 
-    def test_avoided_server_is_left_for_others(self):
-        """An opening goes to a dispatcher whose servers answer."""
-        self.others.take({"a": Dispatchers(addresses=[ME, NEAR])})
-        self.groups.count_slots = lambda service: {ME: 2, NEAR: 2}
+    def test_hands_over_when_servers_are_avoided(self):
+        """An opening goes to another dispatcher when no own server answers."""
+        self.others.set_dispatchers({"a": Dispatchers(addresses=[OWN, PEER])})
+        self.groups.count_slots = lambda service: {OWN: 2, PEER: 2}
         self.server.penalty_until_s = self.clock() + 1.0
-        self.take(1)
-        self.assertEqual(self.told("relayed"), [NEAR])
+        self.receive(1)
+        self.assertEqual(self.targets_of("relayed"), [PEER])
 
-    def test_sender_of_an_unanswered_opening_hears_a_sign(self):
-        """It must not take the dispatcher for gone where the server is."""
-        self.take(1)
+    def test_reports_load_for_unanswered_opening(self):
+        """The sender sees that the dispatcher is alive while the server is silent."""
+        self.receive(1)
         self.clock.value_s += 0.05
         self.dispatcher.tick()
-        self.assertEqual(self.told("load"), [])
+        self.assertEqual(self.targets_of("load"), [])
         self.clock.value_s += 0.06
         self.dispatcher.tick()
-        self.assertEqual(self.told("load"), [NEAR])
+        self.assertEqual(self.targets_of("load"), [PEER])
 
-    def test_all_that_wait_hear_a_sign_before_the_copy(self):
-        """Of two that begin to wait at once the second is told a little later."""
+    def test_reports_load_to_every_waiting_sender(self):
+        """A deferred report is sent before the caller's copy arrives."""
         for port in range(6):
-            self.take(port)
+            self.receive(port)
         self.clock.value_s += 0.01
-        self.take(7)
+        self.receive(7)
         self.sent.clear()
         for _ in range(3):
             self.clock.value_s += 0.05
             self.dispatcher.tick()
-        self.assertIn(NEAR, self.told("load"))
+        self.assertIn(PEER, self.targets_of("load"))
 
-    def test_refusal_goes_to_the_instance_that_sees_the_caller(self):
-        """It alone knows whether the flow is open all the same."""
-        relayed = RelayedOpening(service="tab", waited_ms=1_400, hops=1, origin=FAR)
+    def test_sends_refusal_to_origin_of_opening(self):
+        """A refusal goes to the instance that the caller's packets reach."""
+        relayed = RelayedOpening(service="tab", waited_ms=1_400, hops=1, origin=REMOTE)
         for port in range(5):
-            self.take(port)
-        self.dispatcher.take(opening(9), route(1), relayed, NEAR)
-        refused = [m.returned for m, to in self.sent if to == FAR]
-        self.assertEqual([one.refused for one in refused], [True])
-
-    def test_copy_follows_what_was_handed_over(self):
-        """It takes no second place at home while the other dispatcher lives."""
-        told = {"b": Dispatchers(addresses=[FAR])}
-        self.others.take(told)
+            self.receive(port)
+        self.dispatcher.receive(opening(9), route(1), relayed, PEER)
+        refused = [message.returned for message, to in self.sent if to == REMOTE]
+        self.assertEqual([message.refused for message in refused], [True])
+
+    def test_forwards_copy_of_handed_over_opening(self):
+        """A copy follows its opening while that waits at another dispatcher."""
+        dispatchers = {"b": Dispatchers(addresses=[REMOTE])}
+        self.others.set_dispatchers(dispatchers)
         for port in range(12):
-            self.take(port)
-        self.assertEqual(self.told("relayed"), [FAR])
-        given = self.sent[-1][0].relayed
-        self.assertTrue(given.crossed)
-        port = next(p for p in range(12) if opening(p).key in self.others._given)
+            self.receive(port)
+        self.assertEqual(self.targets_of("relayed"), [REMOTE])
+        handover = self.sent[-1][0].relayed
+        self.assertTrue(handover.crossed)
+        port = next(p for p in range(12) if opening(p).key in self.others._handovers)
         self.clock.value_s += 0.1
-        self.others.on_load(DispatcherLoad(service="tab", wait_ms=900, waiting=4), FAR)
+        self.others.on_load(
+            DispatcherLoad(service="tab", wait_ms=900, waiting=4), REMOTE
+        )
         self.clock.value_s += 0.1
-        self.others.on_load(DispatcherLoad(service="tab", wait_ms=900, waiting=4), FAR)
-        self.take(port, copy=1)
-        self.assertEqual(self.told("relayed"), [FAR, FAR])
+        self.others.on_load(
+            DispatcherLoad(service="tab", wait_ms=900, waiting=4), REMOTE
+        )
+        self.receive(port, copy=1)
+        self.assertEqual(self.targets_of("relayed"), [REMOTE, REMOTE])
 
-    def test_pause_of_its_own_leaves_nothing(self):
-        """After one it refuses nobody whose copy was placed by another."""
+    def test_reset_deletes_waiting_openings(self):
+        """No opening from before a pause of this instance is refused after it."""
         for port in range(7):
-            self.take(port)
+            self.receive(port)
         self.clock.value_s += 2.0
-        self.dispatcher.forget()
+        self.dispatcher.reset()
         self.dispatcher.tick()
-        self.assertEqual(self.told("returned"), [])
+        self.assertEqual(self.targets_of("returned"), [])
         self.assertEqual(self.dispatcher.waiting_count(), 0)
--- a/tests/datapath/test_handing_over.py
+++ b/tests/datapath/test_handing_over.py
@@ -5,110 +5,112 @@
 from tests.datapath.worlds import opening
 from tests.fakes import Clock, address
 
-ME, FAR, FARTHER = address(9), address(1), address(2)
-NEAR, NEARER, THIRD = address(3), address(4), address(5)
-PLACING = frozenset((ME, NEAR, NEARER, THIRD))
+OWN, REMOTE, OTHER_REMOTE = address(9), address(1), address(2)
+PEER, OTHER_PEER, THIRD_PEER = address(3), address(4), address(5)
+CANDIDATES = frozenset((OWN, PEER, OTHER_PEER, THIRD_PEER))
 KEY = opening(1).key
 
 
 class TestOtherDispatchers(unittest.TestCase):
     def setUp(self):
         self.clock = Clock()
-        self.others = OtherDispatchers(ME, "a", self.clock)
-        self.others.take(
+        self.others = OtherDispatchers(OWN, "a", self.clock)
+        self.others.set_dispatchers(
             {
-                "a": Dispatchers(addresses=sorted(PLACING)),
-                "b": Dispatchers(addresses=[FAR, FARTHER]),
+                "a": Dispatchers(addresses=sorted(CANDIDATES)),
+                "b": Dispatchers(addresses=[REMOTE, OTHER_REMOTE]),
             }
         )
 
-    def tell(self, source, wait_ms, waiting=0):
+    def report_load(self, source, wait_ms, waiting=0):
         load = DispatcherLoad(
             service="tab", wait_ms=wait_ms, free=int(not wait_ms), waiting=waiting
         )
         self.others.on_load(load, source)
 
-    def find(self, hops=0, crossed=False):
+    def choose(self, hops=0, crossed=False):
         relayed = RelayedOpening(service="tab", hops=hops, crossed=crossed)
-        found = self.others.find(relayed, PLACING)
-        if found is None:
+        target = self.others.choose_target(relayed, CANDIDATES)
+        if target is None:
             return None
-        return found.address, found.elsewhere.wait_s, found.elsewhere.crosses
-
-    def test_one_with_room_at_home_goes_first(self):
-        """Nobody is sent to another failure domain while one here has room."""
-        self.tell(FAR, 0)
-        self.tell(NEAR, 50)
-        self.tell(NEARER, 0)
-        self.assertEqual(self.find(), (NEARER, 0.0, False))
-
-    def test_unknown_ones_at_home_are_asked(self):
-        """One that nothing is known of is tried, but not this instance itself."""
-        self.assertIn(self.find()[0], {NEAR, NEARER, THIRD})
-        self.tell(NEAR, 50)
-        self.assertIn(self.find()[0], {NEARER, THIRD})
-
-    def test_without_room_at_home_the_least_busy_elsewhere_is_named(self):
-        """Two that are busy stand for all of the failure domain."""
-        self.tell(NEAR, 50)
-        self.tell(NEARER, 40)
-        self.tell(FAR, 50)
-        self.tell(FARTHER, 10)
-        self.assertEqual(self.find(), (FARTHER, 0.01, True))
-
-    def test_after_two_steps_at_home_it_leaves(self):
-        """An opening is not sent from one busy dispatcher to the next for ever."""
-        self.assertTrue(self.find(hops=2)[2])
-        self.assertIsNone(self.find(hops=2, crossed=True))
-
-    def test_unknown_ones_elsewhere_are_asked_now_and_then(self):
-        """One of which nothing is known is named, but not twice within 0.02 s."""
-        self.tell(FAR, 50)
-        self.assertEqual(self.find(hops=2), (FARTHER, None, True))
-        self.others.note_given(KEY, "tab", FARTHER)
-        self.assertEqual(self.find(hops=2)[0], FAR)
-
-    def test_old_word_is_not_used(self):
-        """A load older than 0.1 s, or from one that is no dispatcher, is not used."""
-        self.tell(address(77), 0)
-        self.tell(FAR, 0)
-        self.tell(FARTHER, 0)
+        return target.address, target.elsewhere.wait_s, target.elsewhere.crosses
+
+    def test_prefers_own_domain_dispatcher_with_room(self):
+        """No other failure domain is chosen while the own one has room."""
+        self.report_load(REMOTE, 0)
+        self.report_load(PEER, 50)
+        self.report_load(OTHER_PEER, 0)
+        self.assertEqual(self.choose(), (OTHER_PEER, 0.0, False))
+
+    def test_tries_own_domain_dispatchers_without_report(self):
+        """A dispatcher with unknown load is chosen, but never this instance."""
+        self.assertIn(self.choose()[0], {PEER, OTHER_PEER, THIRD_PEER})
+        self.report_load(PEER, 50)
+        self.assertIn(self.choose()[0], {OTHER_PEER, THIRD_PEER})
+
+    def test_chooses_least_busy_other_domain_dispatcher(self):
+        """Two busy dispatchers show that the own failure domain is busy."""
+        self.report_load(PEER, 50)
+        self.report_load(OTHER_PEER, 40)
+        self.report_load(REMOTE, 50)
+        self.report_load(OTHER_REMOTE, 10)
+        self.assertEqual(self.choose(), (OTHER_REMOTE, 0.01, True))
+
+    def test_limits_hops_in_own_domain(self):
+        """After two hops an opening is handed over to another failure domain only."""
+        self.assertTrue(self.choose(hops=2)[2])
+        self.assertIsNone(self.choose(hops=2, crossed=True))
+
+    def test_limits_probes_of_other_domains(self):
+        """A dispatcher with unknown load is probed once per interval at most."""
+        self.report_load(REMOTE, 50)
+        self.assertEqual(self.choose(hops=2), (OTHER_REMOTE, None, True))
+        self.others.record_handover(KEY, "tab", OTHER_REMOTE)
+        self.assertEqual(self.choose(hops=2)[0], REMOTE)
+
+    def test_ignores_outdated_and_unknown_loads(self):
+        """A load older than 0.1 s, or of an unknown sender, is not used."""
+        self.report_load(address(77), 0)
+        self.report_load(REMOTE, 0)
+        self.report_load(OTHER_REMOTE, 0)
         self.clock.value_s += 0.11
-        self.assertIsNone(self.find(hops=2)[1])
-        self.others.note_given(KEY, "tab", FAR)
-        self.assertIsNone(self.find(hops=2))
+        self.assertIsNone(self.choose(hops=2)[1])
+        self.others.record_handover(KEY, "tab", REMOTE)
+        self.assertIsNone(self.choose(hops=2))
 
-    def test_copy_follows_to_where_it_waits(self):
-        """Only where openings are said to wait since does a copy follow."""
-        self.tell(FAR, 50, waiting=3)
+    def test_finds_dispatcher_where_opening_waits(self):
+        """Only a later report of waiting openings makes a copy follow."""
+        self.report_load(REMOTE, 50, waiting=3)
         self.clock.value_s += 0.01
-        self.others.note_given(KEY, "tab", FAR)
-        self.assertIsNone(self.others.find_given(KEY, "tab"))
+        self.others.record_handover(KEY, "tab", REMOTE)
+        self.assertIsNone(self.others.find_waiting_dispatcher(KEY, "tab"))
         self.clock.value_s += 0.01
-        self.tell(FAR, 0)
-        self.assertIsNone(self.others.find_given(KEY, "tab"))
-        self.tell(FAR, 50, waiting=3)
-        self.assertEqual(self.others.find_given(KEY, "tab"), FAR)
-
-    def test_those_whose_servers_are_silent_are_passed_over(self):
-        """They are no sign that a domain is full, and are remembered for longer."""
-        for silent in (NEAR, NEARER):
-            self.tell(silent, 3_600_000)
+        self.report_load(REMOTE, 0)
+        self.assertIsNone(self.others.find_waiting_dispatcher(KEY, "tab"))
+        self.report_load(REMOTE, 50, waiting=3)
+        self.assertEqual(self.others.find_waiting_dispatcher(KEY, "tab"), REMOTE)
+
+    def test_skips_dispatchers_with_unreachable_servers(self):
+        """They do not count as busy, and their report stays valid for longer."""
+        for unreachable in (PEER, OTHER_PEER):
+            self.report_load(unreachable, 3_600_000)
         self.clock.value_s += 0.3
-        self.assertEqual(self.find(), (THIRD, None, False))
+        self.assertEqual(self.choose(), (THIRD_PEER, None, False))
 
-    def test_opening_leaves_silent_servers(self):
-        """Where no server answers it is handed on further than where all are busy."""
+    def test_allows_more_hops_from_unreachable_servers(self):
+        """An opening is handed over more often where no server answers."""
         relayed = RelayedOpening(service="tab", hops=4, crossed=True)
-        self.assertIsNone(self.others.find(relayed, PLACING))
-        self.assertIsNotNone(self.others.find(relayed, PLACING, is_silent=True))
-
-    def test_given_openings_are_forgotten(self):
-        """What was handed over is named once, and forgotten after 3 s."""
-        self.others.note_given(KEY, "tab", FAR)
-        self.assertEqual(self.others.take_given(KEY), FAR)
-        self.assertIsNone(self.others.take_given(KEY))
-        self.others.note_given(KEY, "tab", FAR)
+        self.assertIsNone(self.others.choose_target(relayed, CANDIDATES))
+        self.assertIsNotNone(
+            self.others.choose_target(relayed, CANDIDATES, is_unreachable=True)
+        )
+
+    def test_deletes_handovers(self):
+        """A handover is returned once, and deleted after 3 s."""
+        self.others.record_handover(KEY, "tab", REMOTE)
+        self.assertEqual(self.others.pop_handover(KEY), REMOTE)
+        self.assertIsNone(self.others.pop_handover(KEY))
+        self.others.record_handover(KEY, "tab", REMOTE)
         self.clock.value_s += 3.1
         self.others.sweep()
-        self.assertIsNone(self.others.take_given(KEY))
+        self.assertIsNone(self.others.pop_handover(KEY))
--- a/tests/datapath/test_judging.py
+++ b/tests/datapath/test_judging.py
@@ -14,7 +14,7 @@
 from tests.datapath.worlds import CODEC, HOST, ForwarderCase, opening, packet, run
 from tests.fakes import address, free_port, own_host
 
-FIRST, SECOND, STRANGER = address(1), address(2), address(9)
+FIRST, SECOND, UNKNOWN = address(1), address(2), address(9)
 
 
 class TestAnswerReports(ForwarderCase):
@@ -22,20 +22,20 @@
         super().setUp()
         for nth in (1, 2):
             self.view.take(run(nth))
-        self.told = []
+        self.sent_messages = []
         self.links = [HubLink(SECOND, "b"), HubLink(FIRST, "a")]
         self.reports = AnswerReports(
             self.forwarder,
             self.view,
             "a",
             lambda: self.links,
-            lambda message, target: self.told.append((message, target)),
+            lambda message, target: self.sent_messages.append((message, target)),
             self.clock,
             self.counters,
         )
 
     def request(self, port, took_s):
-        """One request on a flow of its own; return its backend server's number."""
+        """Send a request on a new flow, and return its backend server's number."""
         _, number = self.handle(opening(port))[0]
         self.handle(packet(port, number, payload_bytes=80))
         self.clock.value_s += took_s
@@ -46,44 +46,44 @@
         self.clock.value_s += 0.2
         self.reports.tick()
 
-    def test_answers_go_to_the_control_instance_that_is_followed_first(self):
-        """One message for all answers, to the own failure domain's, and no other."""
+    def test_reports_to_preferred_control_instance(self):
+        """One report goes to the control instance of the own failure domain only."""
         for port in range(5):
             self.request(port, 0.01)
         self.tick()
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.sent_messages, [])
         self.request(6, 0.01)
         number = self.request(7, 0.15)
         self.tick()
-        ((message, target),) = self.told
+        ((message, target),) = self.sent_messages
         self.assertEqual(target, FIRST)
-        slow = [one.label for one in message.answers.runs if one.slow]
+        slow = [run_sum.label for run_sum in message.answers.runs if run_sum.slow]
         self.assertEqual(slow, [packet(1, number).label])
         self.assertEqual(self.counters["answers_seen"], 2)
         self.assertEqual(self.counters["answers_slow"], 1)
         self.assertIn(f"{HOST:08x}:443", self.reports.dump()["usual_answer_s"])
 
-    def test_nobody_to_tell_is_no_error(self):
-        """What is seen while no control instance is in sight is lost."""
+    def test_drops_report_without_control_instance(self):
+        """Answers are dropped while no control instance is reachable."""
         for port in range(6):
             self.request(port, 0.01)
         self.links.clear()
         self.tick()
-        self.assertEqual(self.told, [])
+        self.assertEqual(self.sent_messages, [])
 
-    def test_weights_are_taken_from_those_in_sight_only(self):
-        """A stranger takes no work from anybody."""
+    def test_ignores_weights_of_unknown_sender(self):
+        """Only weights of reachable control instances are applied."""
         label = packet(1, 1).label
         weights = RunWeights(runs=[RunWeight(label=label, percent=0)])
-        self.reports.on_weights(weights, STRANGER)
-        self.assertEqual(self.reports.weighed_count(), 0)
+        self.reports.on_weights(weights, UNKNOWN)
+        self.assertEqual(self.reports.count_reduced_runs(), 0)
         self.reports.on_weights(weights, SECOND)
         self.assertEqual(self.reports.dump()["weights"], {"i-1": 0.0})
         numbers = [self.request(port, 0.01) for port in range(100)]
         self.assertEqual(numbers.count(1), 0)
 
-    def test_open_flows_stay_where_they_are(self):
-        """A run without new work keeps its flows."""
+    def test_weight_keeps_open_flows(self):
+        """A run with weight zero keeps its open flows."""
         number = self.request(1, 0.01)
         label = packet(1, number).label
         weights = RunWeights(runs=[RunWeight(label=label, percent=0)])
@@ -93,7 +93,7 @@
 
 
 class TestPart(unittest.IsolatedAsyncioTestCase):
-    """The part in whole instances, on and off."""
+    """Judging of answers in complete instances, on and off."""
 
     def make_entry(self, number, registry_port, **fields):
         host = own_host(number)
@@ -130,12 +130,12 @@
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
 
-    async def test_off_there_is_nothing(self):
-        """No watch, no judge, and messages of the part are left alone."""
+    async def test_disabled_part_handles_no_messages(self):
+        """Without the part nothing is measured, and its messages are ignored."""
         port = free_port()
         entry, control = self.make_entry(5, port), self.make_control(port)
-        for one in (entry, control):
-            self.addAsyncCleanup(one.on_stop)
+        for instance in (entry, control):
+            self.addAsyncCleanup(instance.on_stop)
         self.assertIsNone(entry.answers)
         self.assertIsNone(entry.forwarder.loads.watch)
         self.assertIsNone(control.quality)
@@ -147,18 +147,28 @@
         for state in (entry.dump(), control.dump()):
             self.assertFalse({"weights", "usual_answer_s", "quality"} & state.keys())
 
-    async def test_on_messages_pass_both_ways(self):
-        """Two entry instances see slow answers, and are told who is slow."""
+    async def test_enabled_part_sends_reports_and_weights(self):
+        """Two entry instances report slow answers, and receive the run's weight."""
         port, parts = free_port(), Parts(judges_answers=True)
         control = self.make_control(port, parts=parts)
         entries = [self.make_entry(number, port, parts=parts) for number in (5, 6)]
-        for one in (control, *entries):
-            await one.start()
-            self.addAsyncCleanup(one.stop)
+        for instance in (control, *entries):
+            await instance.start()
+            self.addAsyncCleanup(instance.stop)
         for nth in range(1, 7):
-            one = run(nth)
+            backend_run = run(nth)
             control.runs.report(
-                Report(one.id, nth, "tab", one.address, "a", 2, 1, False, 0.0)
+                Report(
+                    backend_run.id,
+                    nth,
+                    "tab",
+                    backend_run.address,
+                    "a",
+                    2,
+                    1,
+                    False,
+                    0.0,
+                )
             )
         control.hub.flush()
         for _ in range(100):
@@ -167,8 +177,8 @@
                 runs = entry.view.of_service("tab")
                 for backend in runs if len(runs) == 6 else ():
                     is_slow = backend.id == "i-3"
-                    entry.answers._watch._count(backend, slow=is_slow)
-            if all(entry.answers.weighed_count() for entry in entries):
+                    entry.answers._monitor._count(backend, slow=is_slow)
+            if all(entry.answers.count_reduced_runs() for entry in entries):
                 break
         for entry in entries:
             self.assertEqual([*entry.dump()["weights"]], ["i-3"])
