--- a/src/agatethread/balancing/__init__.py
+++ b/src/agatethread/balancing/__init__.py
@@ -1,14 +1,14 @@
-"""Decisions under load: who waits, who is refused, and where work goes.
+"""Admission, queueing and load-balancing decisions.
 
-Plain functions and small states that run without a network. Both data paths use them.
+The functions and classes here do no I/O; both data paths use them.
 """
 
 from agatethread.balancing._admission import (
-    PATIENCE_S,
+    MAX_PLACEMENT_DELAY_S,
     Verdict,
     expected_wait_s,
     judge_opening,
-    latest_place_s,
+    placement_deadline_s,
 )
 from agatethread.balancing._dispatchers import choose_dispatchers, share_out
 from agatethread.balancing._fairness import CallerShares, rank_opening
@@ -24,26 +24,26 @@
     Quality,
 )
 from agatethread.balancing._records import Elsewhere, GroupLoad, Opening
-from agatethread.balancing._return import ReturnTimes, choose_retry_after_s
-from agatethread.balancing._turns import FairTurns
+from agatethread.balancing._return import RetrySchedule, choose_retry_after_s
+from agatethread.balancing._turns import FairQueue
 from agatethread.balancing._waiting import WaitingLine
 
 __all__ = [
     "NO_ANSWERS",
     "NO_EVIDENCE",
-    "PATIENCE_S",
+    "MAX_PLACEMENT_DELAY_S",
     "Elsewhere",
     "UNJUDGED",
     "AnswerCounts",
     "Evidence",
     "CallerShares",
-    "FairTurns",
+    "FairQueue",
     "GroupLoad",
     "Judgement",
     "Opening",
     "PressureGauge",
     "Quality",
-    "ReturnTimes",
+    "RetrySchedule",
     "Verdict",
     "WaitingLine",
     "choose_dispatchers",
@@ -52,7 +52,7 @@
     "fresh_from_s",
     "judge_opening",
     "judge_service",
-    "latest_place_s",
+    "placement_deadline_s",
     "rank_opening",
     "share_out",
 ]
--- a/src/agatethread/balancing/_admission.py
+++ b/src/agatethread/balancing/_admission.py
@@ -1,9 +1,8 @@
-"""Who is placed, who waits, who goes elsewhere and who is refused.
+"""Admission control for openings: place, queue, hand over or refuse.
 
-The load that this answers: callers who want more than all slots together bear, for a
-moment or for long, some of them urgent. A refused caller is back within milliseconds
-and gives up after a few tries, so an opening that can be served in time waits; the less
-urgent find more ahead of them, and so are refused first.
+Handles short and lasting demand above the total number of slots. An opening is queued
+if it can be placed before its caller gives up; less urgent openings have more ahead of
+them and are refused first.
 """
 
 from enum import Enum
@@ -11,18 +10,18 @@
 
 from agatethread.balancing._records import Elsewhere, GroupLoad, Opening
 
-#: A caller sends a copy of an opening that nobody answers after 0.2 and 0.6 s, and
-#: gives the flow up after 1.4 s. By then the backend server's answer must have come.
-PATIENCE_S = 1.3
-#: By how much sooner an opening must be placed in another failure domain: the way there
-#: and back several times, and its bytes are dearer than those at home.
-_CROSSING_S = 0.03
-#: The same within the failure domain: the way there, and what has changed meanwhile.
-_MOVING_S = 0.003
+#: Callers resend an unanswered opening after 0.2 and 0.6 s and give the flow up after
+#: 1.4 s; this leaves time for the backend server's answer.
+MAX_PLACEMENT_DELAY_S = 1.3
+#: How much shorter the wait in another failure domain must be: covers several round
+#: trips and the cost of traffic between failure domains.
+_OTHER_DOMAIN_MARGIN_S = 0.03
+#: The same within the own failure domain: covers the transfer and stale load reports.
+_OWN_DOMAIN_MARGIN_S = 0.003
 
 
 class Verdict(Enum):
-    """What becomes of an opening."""
+    """Admission decision for an opening."""
 
     PLACE = "place"
     WAIT = "wait"
@@ -31,30 +30,30 @@
 
 
 def expected_wait_s(load: GroupLoad, ahead_count: int) -> float:
-    """Estimate how long an opening waits for a place.
+    """Return the estimated time until an opening is placed.
 
     Parameters
     ----------
     load : GroupLoad
-        Of the servers that it waits for.
+        Load of the backend servers that it waits for.
     ahead_count : int
-        Openings that get a place before it.
+        Openings that are placed before it.
 
     Returns
     -------
     float
-        Seconds; infinity where there is no place at all.
+        Seconds; infinity if the servers have no slots.
     """
     if load.free_count > ahead_count:
         return 0.0
     if not load.place_count:
         return inf
-    behind_count = ahead_count - load.free_count + 1
-    return behind_count * load.place_time_s / load.place_count
+    queue_position = ahead_count - load.free_count + 1
+    return queue_position * load.place_time_s / load.place_count
 
 
-def latest_place_s(opening: Opening) -> float:
-    """Find until when an opening is worth placing.
+def placement_deadline_s(opening: Opening) -> float:
+    """Return the latest time at which an opening may be placed.
 
     Parameters
     ----------
@@ -66,7 +65,7 @@
     float
         Time after which its caller has given up.
     """
-    return opening.asked_s + min(PATIENCE_S, opening.timeout_s)
+    return opening.asked_s + min(MAX_PLACEMENT_DELAY_S, opening.timeout_s)
 
 
 def judge_opening(
@@ -74,35 +73,37 @@
     load: GroupLoad,
     ahead_count: int,
     now_s: float,
-    elsewhere: Elsewhere | None = None,
+    alternative: Elsewhere | None = None,
 ) -> Verdict:
-    """Decide what becomes of an opening.
+    """Return the admission decision for an opening.
 
     Parameters
     ----------
     opening : Opening
         The opening.
     load : GroupLoad
-        Of the servers at hand.
+        Load of the backend servers that this instance places on.
     ahead_count : int
-        Openings that wait for them and go first.
+        Openings queued for the same servers that are placed first.
     now_s : float
-        Present time.
-    elsewhere : Elsewhere or None, optional
-        Where else it may be placed; None if nowhere.
+        Current time.
+    alternative : Elsewhere or None, optional
+        Another instance that may place it; None if there is none.
 
     Returns
     -------
     Verdict
-        Never a refusal while a place is free.
+        Never a refusal while a slot is free.
     """
     if load.free_count > ahead_count:
         return Verdict.PLACE
     wait_s = expected_wait_s(load, ahead_count)
-    if elsewhere is not None:
-        margin_s = _CROSSING_S if elsewhere.crosses else _MOVING_S
-        if (elsewhere.wait_s or 0.0) + margin_s < wait_s:
+    if alternative is not None:
+        margin_s = (
+            _OTHER_DOMAIN_MARGIN_S if alternative.crosses else _OWN_DOMAIN_MARGIN_S
+        )
+        if (alternative.wait_s or 0.0) + margin_s < wait_s:
             return Verdict.HAND_OVER
-    if now_s + wait_s <= latest_place_s(opening):
+    if now_s + wait_s <= placement_deadline_s(opening):
         return Verdict.WAIT
     return Verdict.REFUSE
--- a/src/agatethread/balancing/_dispatchers.py
+++ b/src/agatethread/balancing/_dispatchers.py
@@ -1,8 +1,7 @@
-"""Which instances place openings, and on which backend servers.
+"""Selection of dispatchers and assignment of backend servers to them.
 
-The load that this answers: more entry instances than a service has slots for each. A
-few of them place for all; the choice needs no agreement, since it is a function of what
-all know.
+Handles failure domains with more entry instances than slots per instance: a few of them
+place the openings of all. Every instance computes the same result from shared data.
 """
 
 from collections.abc import Sequence
@@ -10,72 +9,77 @@
 
 from xxhash import xxh64_intdigest
 
-#: Slots for each dispatcher: those of one small backend server. Then each entry
-#: instance places some of a crowd's openings, and nobody's link bears those of all.
-_SLOTS_EACH = 2
-#: What a message can name; a domain with far more slots has more of them each.
-_MOST = 128
+#: The slots of one small backend server, so that many instances share the placement
+#: work and no link carries the openings of all.
+_SLOTS_PER_DISPATCHER = 2
+#: Most dispatchers that a message can list.
+_MAX_DISPATCHERS = 128
 
 
-def _weight(dispatcher: bytes, number: int) -> int:
-    return xxh64_intdigest(dispatcher + number.to_bytes(8, "big"))
+def _rendezvous_weight(dispatcher: bytes, server_id: int) -> int:
+    return xxh64_intdigest(dispatcher + server_id.to_bytes(8, "big"))
 
 
 def choose_dispatchers(entries: Sequence[bytes], slot_count: int) -> tuple[bytes, ...]:
-    """Choose which entry instances of a failure domain place its openings.
+    """Return the entry instances that place the openings of a failure domain.
 
     Parameters
     ----------
     entries : sequence of bytes
-        Packed addresses of those that serve, in any order.
+        Packed addresses of the serving entry instances, in any order.
     slot_count : int
         Slots of the domain's backend servers.
 
     Returns
     -------
     tuple of bytes
-        Alike for the same entries; one that joins or leaves changes one choice. Empty
-        where nobody serves.
+        Packed addresses; the same for the same entries in any order. An entry instance
+        that joins or leaves changes at most one. Empty without entries.
     """
-    by_slots = ceil(slot_count / _SLOTS_EACH)
-    count = min(max(1, by_slots), _MOST)
-    ranked = sorted(set(entries), key=lambda address: (_weight(address, 0), address))
+    wanted_count = ceil(slot_count / _SLOTS_PER_DISPATCHER)
+    count = min(max(1, wanted_count), _MAX_DISPATCHERS)
+    ranked = sorted(
+        set(entries), key=lambda address: (_rendezvous_weight(address, 0), address)
+    )
     return tuple(ranked[:count])
 
 
 def share_out(
-    numbers: Sequence[int], dispatchers: Sequence[bytes]
+    server_ids: Sequence[int], dispatchers: Sequence[bytes]
 ) -> dict[bytes, tuple[int, ...]]:
-    """Share backend servers out among dispatchers.
+    """Return the backend servers assigned to each dispatcher.
 
-    Rendezvous hashing with bounded loads: each server goes to the dispatcher that
-    weighs most for it among those that have room, so that counts differ by one at most
-    and few servers move when one comes or goes.
+    Rendezvous hashing with bounded loads: each server goes to the dispatcher of highest
+    weight that has capacity left, so that counts differ by at most one and few servers
+    move when a server or dispatcher is added or removed.
 
     Parameters
     ----------
-    numbers : sequence of int
-        64 bits that name each server, in any order.
+    server_ids : sequence of int
+        64-bit identifier of each server, in any order.
     dispatchers : sequence of bytes
         Packed addresses, in any order.
 
     Returns
     -------
     dict of bytes to tuple of int
-        The numbers by dispatcher; empty without dispatchers.
+        Server identifiers by dispatcher; empty without dispatchers.
     """
-    shares: dict[bytes, list[int]] = {one: [] for one in dispatchers}
+    shares: dict[bytes, list[int]] = {address: [] for address in dispatchers}
     if not shares:
         return {}
-    least, with_one_more = divmod(len(set(numbers)), len(shares))
-    for number in sorted(set(numbers)):
-        ranked = sorted(shares, key=lambda one: (-_weight(one, number), one))
+    min_count, remainder = divmod(len(set(server_ids)), len(shares))
+    for server_id in sorted(set(server_ids)):
+        ranked = sorted(
+            shares,
+            key=lambda address: (-_rendezvous_weight(address, server_id), address),
+        )
         for dispatcher in ranked:
-            held = len(shares[dispatcher])
-            if held < least:
+            assigned = len(shares[dispatcher])
+            if assigned < min_count:
                 break
-            if held == least and with_one_more:
-                with_one_more -= 1
+            if assigned == min_count and remainder:
+                remainder -= 1
                 break
-        shares[dispatcher].append(number)
-    return {dispatcher: tuple(held) for dispatcher, held in shares.items()}
+        shares[dispatcher].append(server_id)
+    return {dispatcher: tuple(assigned) for dispatcher, assigned in shares.items()}
--- a/src/agatethread/balancing/_fairness.py
+++ b/src/agatethread/balancing/_fairness.py
@@ -1,49 +1,48 @@
-"""Which callers take more than their share, and what that means for their openings.
+"""Fair sharing of placements among callers.
 
-The load that this answers: under pressure one caller opens many times as many flows as
-each of the others. In the order in which openings come, all wait for it. Here only its
-own openings wait longer: they go behind all others while it is over its share, and
-before them again as soon as it is not. Nobody is refused for it beside a free place.
+Handles a caller that opens many times as many flows as the others while slots are
+scarce: its openings are queued behind those of all other callers until it is within its
+share again. No opening is refused for this while a slot is free.
 
-A caller is whatever the data path tells apart: a source address, a client account. Many
-programs behind one address are one caller, and share what one gets while others wait;
-without pressure, or with nobody else there, they have all there is.
+A caller is what the data path distinguishes: a source address or a client account.
+Programs that share an address count as one caller.
 """
 
 from dataclasses import dataclass, field, replace
 
 from agatethread.balancing._records import Opening
 
-#: What is counted are this window and the one before, so the last 0.5 to 1 s.
+#: Counts cover the current and the previous window: the last 0.5 to 1 s.
 _WINDOW_S = 0.5
-#: Callers counted in a window, some 100 bytes each for each service: more than a
-#: dispatcher can place openings of in that time.
-_MOST_CALLERS = 2_048
-#: Times the mean of the others from which on a caller is over. Callers with like work
-#: differ by less.
-_OVER_FACTOR = 4.0
-#: Openings within the windows up to which nobody is over: a program may open half a
-#: dozen flows at once, and do so twice.
-_FLOOR_COUNT = 12
+#: Callers counted in a window of a service: more than a dispatcher can serve in that
+#: time. Bounds the memory.
+_MAX_CALLERS = 2_048
+#: Multiple of the mean of the other callers above which a caller exceeds its share.
+#: Callers with similar work differ by less.
+_OVERUSE_FACTOR = 4.0
+#: Openings in both windows up to which no caller exceeds its share: allows two bursts
+#: of a few flows.
+_MIN_OVERUSE_COUNT = 12
 
 
 @dataclass(slots=True)
 class _Window:
-    """Openings in a window, by caller.
+    """Openings in a window, by caller (Misra-Gries summary).
 
-    Once a caller finds all rows in use, one is taken off each row: then rows are too
-    low, by no more than the openings of the window divided by the rows and one.
+    An opening of a caller without a row lowers all rows by one if no row is free. Rows
+    are then too low by at most the openings of the window divided by the rows plus one.
     """
 
     number: int = 0
     opening_count: int = 0
     rows: dict[int, int] = field(default_factory=dict)
-    #: Callers seen before the rows ran out, and those not in the window before.
+    #: Callers counted before the rows ran out, and those of them that have no row in
+    #: the previous window.
     caller_count: int = 0
     new_count: int = 0
-    is_short: bool = False
+    is_truncated: bool = False
 
-    def note(self, caller: int, before: "_Window", limit_count: int) -> None:
+    def record(self, caller: int, previous: "_Window", limit_count: int) -> None:
         """Count an opening."""
         self.opening_count += 1
         count = self.rows.get(caller)
@@ -51,21 +50,25 @@
             self.rows[caller] = count + 1
             return
         if len(self.rows) >= limit_count:
-            self.is_short = True
-            self.rows = {one: left - 1 for one, left in self.rows.items() if left > 1}
+            self.is_truncated = True
+            self.rows = {
+                other_caller: remaining_count - 1
+                for other_caller, remaining_count in self.rows.items()
+                if remaining_count > 1
+            }
             return
         self.rows[caller] = 1
-        if not self.is_short:
+        if not self.is_truncated:
             self.caller_count += 1
-            self.new_count += caller not in before.rows
+            self.new_count += caller not in previous.rows
 
 
 class CallerShares:
     """Openings of the last second, by caller, in bounded memory.
 
-    A caller's count is never too high, and too low by no more than the openings of a
-    window divided by its rows and one; with fewer callers than rows it is exact. The
-    callers are never counted too many. So nobody is found over who is not.
+    A caller's count is never too high, and too low by at most the openings of a window
+    divided by its rows plus one; with fewer callers than rows it is exact. The number
+    of callers is never overestimated, so a caller within its share is never reported.
 
     Parameters
     ----------
@@ -73,104 +76,104 @@
         Callers that a window has a row for.
     """
 
-    def __init__(self, limit_count: int = _MOST_CALLERS):
+    def __init__(self, limit_count: int = _MAX_CALLERS):
         self._limit_count = limit_count
         self._current = _Window()
-        self._before = _Window()
+        self._previous = _Window()
 
     def __len__(self) -> int:
-        return len(self._current.rows) + len(self._before.rows)
+        return len(self._current.rows) + len(self._previous.rows)
 
     def note(self, caller: int, now_s: float) -> None:
-        """Count an opening that was taken on: given a place, or a turn among others.
+        """Count an opening that was placed or queued.
 
         Parameters
         ----------
         caller : int
-            Whose it is.
+            The caller.
         now_s : float
-            Present time, never less than before.
+            Current time, never less than in earlier calls.
         """
-        self._advance(now_s)
-        self._current.note(caller, self._before, self._limit_count)
+        self._advance_windows(now_s)
+        self._current.record(caller, self._previous, self._limit_count)
 
     def count(self, caller: int, now_s: float) -> int:
-        """Count the openings of a caller that were taken on lately.
+        """Return the number of a caller's recent openings.
 
         Parameters
         ----------
         caller : int
             The caller.
         now_s : float
-            Present time.
+            Current time.
 
         Returns
         -------
         int
-            Its count in the last 0.5 to 1 s.
+            Openings counted in the last 0.5 to 1 s.
         """
-        self._advance(now_s)
-        return self._current.rows.get(caller, 0) + self._before.rows.get(caller, 0)
+        self._advance_windows(now_s)
+        return self._current.rows.get(caller, 0) + self._previous.rows.get(caller, 0)
 
     def is_over(self, caller: int, now_s: float) -> bool:
-        """Tell whether a caller has taken clearly more than its share lately.
+        """Return whether a caller exceeds its share.
 
         Parameters
         ----------
         caller : int
             The caller.
         now_s : float
-            Present time.
+            Current time.
 
         Returns
         -------
         bool
-            Whether it took more than a few openings, and several times the mean of the
-            other callers. With no other caller there it never has.
+            True if it had more than a few recent openings and several times the mean of
+            the other callers; False without other callers.
         """
         own_count = self.count(caller, now_s)
-        other_callers = self._caller_count() - 1
-        if own_count <= _FLOOR_COUNT or other_callers < 1:
+        other_caller_count = self._estimate_caller_count() - 1
+        if own_count <= _MIN_OVERUSE_COUNT or other_caller_count < 1:
             return False
-        total_count = self._current.opening_count + self._before.opening_count
-        mean_count = (total_count - own_count) / other_callers
-        return own_count > _OVER_FACTOR * mean_count
+        total_count = self._current.opening_count + self._previous.opening_count
+        mean_count = (total_count - own_count) / other_caller_count
+        return own_count > _OVERUSE_FACTOR * mean_count
 
-    def _advance(self, now_s: float) -> None:
+    def _advance_windows(self, now_s: float) -> None:
         number = int(now_s // _WINDOW_S)
-        passed_count = number - self._current.number
-        if passed_count <= 0:
+        elapsed_windows = number - self._current.number
+        if elapsed_windows <= 0:
             return
-        self._before = self._current if passed_count == 1 else _Window()
+        self._previous = self._current if elapsed_windows == 1 else _Window()
         self._current = _Window(number)
 
-    def _caller_count(self) -> int:
-        current, before = self._current, self._before
-        if before.is_short:
-            # A caller without a row there may have been counted there all the same.
-            return max(current.caller_count, before.caller_count)
-        return before.caller_count + current.new_count
+    def _estimate_caller_count(self) -> int:
+        current, previous = self._current, self._previous
+        if previous.is_truncated:
+            # A caller without a row there may still have been counted there.
+            return max(current.caller_count, previous.caller_count)
+        return previous.caller_count + current.new_count
 
 
 def rank_opening(opening: Opening, is_over: bool, waiting_count: int) -> Opening:
-    """Put an opening behind all others if its caller takes more than its share.
+    """Return an opening, ranked last if its caller exceeds its share.
 
-    The load that this answers: a caller that opens twenty times as much as others while
-    there are fewer places than openings. Where nobody else waits, nothing is changed.
+    Handles a caller that opens many more flows than others while slots are scarce.
 
     Parameters
     ----------
     opening : Opening
         The opening.
     is_over : bool
-        Whether its caller has taken more than its share lately.
+        Whether its caller exceeds its share.
     waiting_count : int
-        Other openings that wait for the same servers.
+        Other openings that are queued for the same servers.
 
     Returns
     -------
     Opening
-        The same, to go behind all others or as it was.
+        A copy that is queued behind all others; the opening itself if its caller is
+        within its share or no other opening is queued.
     """
     if not is_over or not waiting_count:
         return opening
--- a/src/agatethread/balancing/_pressure.py
+++ b/src/agatethread/balancing/_pressure.py
@@ -1,51 +1,50 @@
-"""Whether a service is under pressure, as one of many instances sees it.
+"""Estimate of a service's slot utilization from one instance's own counts.
 
-The load that this answers: a crowd that comes and goes within seconds before dozens of
-instances, each of which sees a share of it. While few slots are in use, each places by
-its own counts and nobody waits; when most are, they have to place together. An
-instance sees a few flows at a time, so its own figure jumps, and is smoothed.
+Handles bursts of a few seconds that are spread over many entry instances. At low
+utilization each instance places by its own counts; under pressure placement is shared.
+An instance has only a few flows at a time, so its estimate is smoothed.
 """
 
 from dataclasses import dataclass
 from math import exp, inf
 
-#: Time in which half and more of a change shows. A crowd that starts sheds callers from
-#: its first second on; a few flows at once by chance are over sooner.
+#: Short enough to detect a burst within its first second, long enough to ignore a few
+#: flows that coincide.
 _SMOOTHING_S = 0.25
-#: Openings that found nothing in progress and are always counted in: in calm so few are
-#: seen in the smoothing time that two flows at once would look like a crowd.
-_IDLE_COUNT = 3
-#: What openings must have found in progress, all together, and for how long use must
-#: have stayed high, for pressure to begin: a burst of a few openings is no crowd.
-_LEAST_FOUND = 3.0
-_LASTS_S = 0.05
-#: Share of the slots in use, by the estimate, from which on and below which pressure
-#: begins and ends. Below half of the slots hardly any caller waits whoever places it.
-_BEGINS_AT = 0.45
-_ENDS_AT = 0.3
+#: Virtual openings that found nothing in progress. They damp the estimate when openings
+#: are rare, where two coinciding flows would look like a burst.
+_IDLE_OPENING_COUNT = 3
+#: Pressure begins only above this smoothed sum of work in progress, and only after
+#: utilization has stayed high for this time: ignores a burst of a few openings.
+_MIN_IN_PROGRESS_SUM = 3.0
+_ONSET_S = 0.05
+#: Estimated utilization above which pressure begins and below which it ends. Below half
+#: of the slots callers rarely wait even without shared placement.
+_ONSET_UTILIZATION = 0.45
+_END_UTILIZATION = 0.3
 
 
 @dataclass(slots=True)
-class _Seen:
-    at_s: float
-    #: What openings found in progress, and how many they were, the older the less.
-    found: float = 0.0
-    count: float = 0.0
-    #: Since when use has been high enough for pressure to begin.
+class _Estimate:
+    updated_s: float
+    #: Sum of the work in progress that openings found, and their number; both decay.
+    in_progress_sum: float = 0.0
+    opening_count: float = 0.0
+    #: Start of the present period of utilization above the onset threshold.
     above_since_s: float = inf
     is_high: bool = False
 
 
 class PressureGauge:
-    """Smoothed use of each service's slots.
+    """Smoothed slot utilization of each service.
 
-    What openings find in progress when they come is, on the mean, what is in progress
-    at any time. So each counts alike: weighted by the time since the one before, those
-    after a long gap, which find least, would count most.
+    With random arrivals the mean work in progress that openings find equals the mean
+    over time. Openings are therefore weighted equally and not by the time since the
+    previous one.
     """
 
     def __init__(self) -> None:
-        self._seen: dict[str, _Seen] = {}
+        self._estimates: dict[str, _Estimate] = {}
 
     def is_high(
         self,
@@ -55,7 +54,7 @@
         slot_count: int,
         now_s: float,
     ) -> bool:
-        """Tell whether a service is under pressure.
+        """Update the estimate and return whether a service is under pressure.
 
         Parameters
         ----------
@@ -64,32 +63,39 @@
         in_flight_count : int
             Openings and requests that this instance has in progress there.
         entry_count : int
-            Instances of the failure domain, which see as many each.
+            Entry instances of the failure domain, assumed to be equally loaded.
         slot_count : int
             The service's slots in the failure domain.
         now_s : float
-            Present time; to be asked at each opening.
+            Current time. Call this once for each opening.
 
         Returns
         -------
         bool
-            Whether placing is to be shared.
+            Whether placement is to be shared among instances.
         """
-        seen = self._seen.get(service)
-        if seen is None:
-            seen = self._seen[service] = _Seen(now_s)
-        keep = exp(-(now_s - seen.at_s) / _SMOOTHING_S)
-        seen.found = seen.found * keep + in_flight_count
-        seen.count = seen.count * keep + 1
-        seen.at_s = now_s
+        estimate = self._estimates.get(service)
+        if estimate is None:
+            estimate = self._estimates[service] = _Estimate(now_s)
+        decay = exp(-(now_s - estimate.updated_s) / _SMOOTHING_S)
+        estimate.in_progress_sum = estimate.in_progress_sum * decay + in_flight_count
+        estimate.opening_count = estimate.opening_count * decay + 1
+        estimate.updated_s = now_s
         if not slot_count:
-            seen.is_high = False
+            estimate.is_high = False
             return False
-        seen.above_since_s = min(seen.above_since_s, now_s)
-        mean = seen.found / (seen.count + _IDLE_COUNT)
-        use = mean * entry_count / slot_count
-        if use <= _BEGINS_AT or seen.found < _LEAST_FOUND:
-            seen.above_since_s = inf
-        lasts = now_s - seen.above_since_s >= _LASTS_S
-        seen.is_high = use > _ENDS_AT if seen.is_high else lasts
-        return seen.is_high
+        estimate.above_since_s = min(estimate.above_since_s, now_s)
+        mean_in_progress = estimate.in_progress_sum / (
+            estimate.opening_count + _IDLE_OPENING_COUNT
+        )
+        utilization = mean_in_progress * entry_count / slot_count
+        if (
+            utilization <= _ONSET_UTILIZATION
+            or estimate.in_progress_sum < _MIN_IN_PROGRESS_SUM
+        ):
+            estimate.above_since_s = inf
+        has_lasted = now_s - estimate.above_since_s >= _ONSET_S
+        estimate.is_high = (
+            utilization > _END_UTILIZATION if estimate.is_high else has_lasted
+        )
+        return estimate.is_high
--- a/src/agatethread/balancing/_quality_records.py
+++ b/src/agatethread/balancing/_quality_records.py
@@ -1,4 +1,4 @@
-"""What is seen of a backend server's answers, and what is held of it."""
+"""Records of observed answers and judgements of backend servers."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -6,7 +6,7 @@
 
 
 class Quality(Enum):
-    """What is held of a run."""
+    """Health state of a run."""
 
     GOOD = "good"
     DOUBTFUL = "doubtful"
@@ -21,12 +21,12 @@
     Attributes
     ----------
     answers : int
-        All that were seen, also requests that have waited too long and flows that
-        ended without an answer.
+        All observed answers, including requests that have waited too long and flows
+        that ended without an answer.
     slow : int
-        Those that took, or wait, far longer than is usual for their route.
+        Answers and waiting requests that took far longer than usual for their route.
     failed : int
-        Those that ended without a whole answer.
+        Requests that ended without a complete answer.
     """
 
     answers: int = 0
@@ -35,26 +35,26 @@
 
     @property
     def good(self) -> int:
-        """Answers as callers wanted them."""
+        """Number of answers that were neither slow nor failed."""
         return self.answers - self.slow - self.failed
 
     @property
     def bad(self) -> int:
-        """Answers that no caller wanted so."""
+        """Number of slow and failed answers."""
         return self.slow + self.failed
 
     def plus(self, other: "AnswerCounts") -> "AnswerCounts":
-        """Add other sums.
+        """Return the sum of these and other counts.
 
         Parameters
         ----------
         other : AnswerCounts
-            The others.
+            The other counts.
 
         Returns
         -------
         AnswerCounts
-            Of both together.
+            The sum.
         """
         return AnswerCounts(
             self.answers + other.answers,
@@ -63,32 +63,30 @@
         )
 
 
-#: Nothing was seen.
 NO_ANSWERS = AnswerCounts()
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What entry instances together saw of a run lately.
+    """Recent answers of a run, summed over entry instances.
 
     Attributes
     ----------
     whole : AnswerCounts
-        Over the whole window.
+        Answers in the whole window.
     recent : AnswerCounts
-        Over its newest part, so that a server that turns is not judged by the answers
-        from before.
+        Answers in the newest part of the window, to detect a sudden change.
     fresh : AnswerCounts
-        Of requests that were asked since the run came into its present state, as far as
-        that can be told; see `fresh_from_s`.
+        Answers to requests sent since the run entered its present state, approximately;
+        see `fresh_from_s`.
     good_since_bad : int
         Good answers since the last bad one.
     observers : int
-        Entry instances that saw a bad answer.
+        Entry instances that observed a bad answer.
     domains : int
         Failure domains with enough answers to judge by.
     bad_domains : int
-        Failure domains that saw a bad answer.
+        Failure domains that observed a bad answer.
     """
 
     whole: AnswerCounts = NO_ANSWERS
@@ -100,26 +98,25 @@
     bad_domains: int = 0
 
 
-#: Nobody saw anything.
 NO_EVIDENCE = Evidence()
 
 
 @dataclass(frozen=True, slots=True)
 class Judgement:
-    """What is decided of a run.
+    """Health state of a run and its share of work.
 
     Attributes
     ----------
     quality : Quality
-        What is held of it.
+        Health state.
     weight : float
         Share of its usual new work that it gets, 0 to 1.
     since_s : float
-        When it came into this state.
+        When it entered this state.
     seen_s : float
-        When an answer of it was seen last.
+        When its last answer was observed.
     chance : float
-        Chance of what was seen on a server like the others.
+        Probability of its bad answers on a server like the others.
     """
 
     quality: Quality = Quality.GOOD
@@ -129,5 +126,5 @@
     chance: float = 1.0
 
 
-#: Of a run of which nothing was decided.
+#: Judgement of a run without an earlier one.
 UNJUDGED = Judgement()
--- a/src/agatethread/balancing/_records.py
+++ b/src/agatethread/balancing/_records.py
@@ -1,30 +1,30 @@
-"""What the decisions under load are told."""
+"""Inputs of admission decisions."""
 
 from dataclasses import dataclass
 from math import inf
 
-#: Rank from which on openings go behind those of all urgencies.
-BEHIND_ALL = 1_000
+#: Added to the urgency of openings that are queued behind those of all urgencies.
+DEFERRED_RANK = 1_000
 
 
 @dataclass(frozen=True, slots=True)
 class Opening:
-    """One caller's wish for a new flow, whose request follows at once.
+    """Request of a caller to open a flow.
 
     Attributes
     ----------
     urgency : int
         0 is the most urgent.
     asked_s : float
-        When the caller asked first, by the clock of whoever decides.
+        When the caller first sent it, by the clock of the deciding instance.
     aim_s : float, optional
         Time from there within which the caller wants its answer.
     timeout_s : float, optional
-        Time after which an answer is of no use to it.
+        Time from there after which the caller discards an answer.
     caller : int, optional
-        Tells callers apart, so that none takes another's room.
+        Identifies the caller for fair sharing.
     is_behind : bool, optional
-        Whether it goes behind those of all urgencies that are not.
+        Whether it is queued behind the openings of all urgencies.
     """
 
     urgency: int
@@ -36,24 +36,24 @@
 
     @property
     def rank(self) -> int:
-        """Its place among the urgencies; 0 goes first."""
-        return self.urgency + BEHIND_ALL if self.is_behind else self.urgency
+        """Queueing rank; 0 goes first."""
+        return self.urgency + DEFERRED_RANK if self.is_behind else self.urgency
 
 
 @dataclass(frozen=True, slots=True)
 class GroupLoad:
-    """Load of the backend servers whose flows one instance places.
+    """Load of the backend servers that one instance places flows on.
 
     Attributes
     ----------
     free_count : int
-        Openings that can be placed at once.
+        Free slots.
     waiting_count : int
-        Openings that wait for a place.
+        Openings that are queued for a slot.
     place_count : int
-        Openings and requests that the servers may have in progress together.
+        Slots: openings and requests that the servers may have in progress together.
     place_time_s : float
-        How long one of them usually keeps its place.
+        Usual time for which an opening or request occupies a slot.
     """
 
     free_count: int
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Elsewhere:
-    """Where else an opening may be placed.
+    """Another instance that may place an opening.
 
     Attributes
     ----------
     wait_s : float or None
-        How long it would wait there; None if nobody knows, so that it finds out.
+        Expected wait there; None if unknown, which is treated as no wait.
     crosses : bool, optional
-        Whether that is another failure domain.
+        Whether it is in another failure domain.
     """
 
     wait_s: float | None
--- a/src/agatethread/balancing/_return.py
+++ b/src/agatethread/balancing/_return.py
@@ -1,39 +1,38 @@
-"""When callers that were refused should come back.
+"""Retry times for refused callers.
 
-The load that this answers: an outage or a crowd leaves many callers refused at once. If
-all are told the same time, all are back at that time, and most are refused again. Here
-each is told the time at which the servers get to it after those refused before it.
+Handles many callers that are refused at once in an outage or a burst. A common retry
+time would make all of them return together, so each gets the time at which the servers
+can serve it after the callers refused before it.
 """
 
 from math import floor, inf
 
-#: Longest time told; a caller that could be served after it tries again nearer to it.
-_MOST_RETRY_AFTER_S = 30.0
-#: Most of the time by which a caller may come sooner, for each step of urgency, and as
-#: a share of the wait. Instances that refuse callers of the same servers know nothing
-#: of each other; a whole wait of jitter would bring the callers of its end too soon.
-_JITTER_EACH_S = 0.05
-_MOST_JITTER_RATIO = 0.5
-#: Pause between two looks for owners whose times have passed; until then such a one
-#: counts as one turn more.
-_FORGET_PAUSE_S = 0.1
-#: Most work that callers are told to bring in a second, as a ratio of what is done in
-#: one, while there is room before the end. Half a second's work is a wait that most
-#: callers' deadlines bear.
-_MOST_WORK_RATIO = 1.5
+#: Upper bound of retry times; callers that would have to wait longer retry and get a
+#: newer estimate.
+_MAX_RETRY_AFTER_S = 30.0
+#: Bounds of the jitter by which a caller may retry earlier: per step of urgency, and as
+#: a share of the wait. Spreads the callers that different instances refuse.
+_JITTER_PER_URGENCY_S = 0.05
+_MAX_JITTER_RATIO = 0.5
+#: Interval of removing owners whose retry times have passed; until then each of them
+#: counts as one more turn.
+_CLEANUP_INTERVAL_S = 0.1
+#: Upper bound of the work booked for one second, relative to the capacity, while there
+#: is room before the end of the schedule. Most deadlines allow the resulting wait.
+_MAX_BOOKED_RATIO = 1.5
 
 
 def choose_retry_after_s(expected_wait_s: float, urgency: int, draw: float) -> float:
-    """Choose when a refused caller should come back.
+    """Return the time after which a refused caller should retry.
 
-    The load that this answers: many callers for whom the same wait is expected. They
-    come spread before its end, the less urgent spread more; never after it, so that no
-    server is idle while callers hold back.
+    Handles many callers with the same expected wait: their retries are spread over the
+    time before its end, less urgent ones more widely. No retry is later than the wait,
+    so that no server is idle while callers hold back.
 
     Parameters
     ----------
     expected_wait_s : float
-        Time until the servers can serve it.
+        Time until the servers can serve the caller.
     urgency : int
         0 is the most urgent.
     draw : float
@@ -42,91 +41,94 @@
     Returns
     -------
     float
-        Seconds. Where it can't be served for very long, somewhere in the later half of
-        the longest time that is told.
+        Seconds; for waits above the upper bound, a time in its second half.
     """
-    if expected_wait_s >= _MOST_RETRY_AFTER_S:
-        return _MOST_RETRY_AFTER_S * (1 - _MOST_JITTER_RATIO * draw)
-    most_jitter_s = _JITTER_EACH_S * (1 + urgency)
-    jitter_s = min(most_jitter_s, _MOST_JITTER_RATIO * expected_wait_s)
+    if expected_wait_s >= _MAX_RETRY_AFTER_S:
+        return _MAX_RETRY_AFTER_S * (1 - _MAX_JITTER_RATIO * draw)
+    max_jitter_s = _JITTER_PER_URGENCY_S * (1 + urgency)
+    jitter_s = min(max_jitter_s, _MAX_JITTER_RATIO * expected_wait_s)
     return expected_wait_s - jitter_s * draw
 
 
-class ReturnTimes:
-    """Times on which refused callers are expected back, one after the other.
+class RetrySchedule:
+    """Schedule of retry times, shared fairly among owners of callers.
 
-    Owners of many callers take turns: one that had thousands refused does not put off
-    another's first. Times once told stay, so those of an owner that has few lie between
-    them, and for a while more come than can be served, by a bounded ratio. A caller
-    that does not come back costs those refused after it its turn, until the time
-    passes; callers that are not refused do not wait for it.
+    Owners take turns, so an owner with thousands of refused callers does not delay the
+    first caller of another. Booked times are not moved: new callers of other owners are
+    placed between them, which overbooks a second by a bounded ratio. The turn of a
+    caller that does not retry is unused for other refused callers until its time has
+    passed.
     """
 
     def __init__(self) -> None:
         self._last_s = -inf
-        #: Last time told to each owner; those that have passed are forgotten.
-        self._last_of: dict[str, float] = {}
-        self._forget_at_s = -inf
-        #: Work that the callers told bring in each second.
-        self._work_s: dict[int, float] = {}
+        #: Latest time booked for each owner; past ones are removed.
+        self._last_by_owner: dict[str, float] = {}
+        self._next_cleanup_s = -inf
+        #: Booked work by second.
+        self._booked_work_s: dict[int, float] = {}
 
     def __len__(self) -> int:
-        return len(self._last_of)
+        return len(self._last_by_owner)
 
     def book(self, owner: str, wait_s: float, turn_s: float, now_s: float) -> float:
-        """Find the time at which the servers get to one more caller.
+        """Book a retry time for one more caller and return it.
 
         Parameters
         ----------
         owner : str
-            Whose caller it is.
+            Owner of the caller.
         wait_s : float
-            Time until it would have its turn, had nobody been told to come back.
+            Expected wait without any booked retries.
         turn_s : float
-            Time that they need for one caller more.
+            Time that the servers need for one more caller.
         now_s : float
-            Present time.
+            Current time.
 
         Returns
         -------
         float
-            Seconds from now: after all of this owner's that were told a time before,
-            and as many of each other's; no later than after all of all owners'.
+            Seconds from now: after all times booked for this owner and as many for each
+            other owner, but no later than after all booked times.
         """
-        own_last_s = self._last_of.pop(owner, -inf)
-        self._forget(now_s)
-        first_s, latest_s = now_s + wait_s, now_s + _MOST_RETRY_AFTER_S
-        in_turn_s = max(own_last_s, first_s) + turn_s * (1 + len(self._last_of))
-        self._last_s = min(max(self._last_s, first_s) + turn_s, latest_s)
+        own_last_s = self._last_by_owner.pop(owner, -inf)
+        self._remove_past(now_s)
+        earliest_s, latest_s = now_s + wait_s, now_s + _MAX_RETRY_AFTER_S
+        fair_turn_s = max(own_last_s, earliest_s) + turn_s * (
+            1 + len(self._last_by_owner)
+        )
+        self._last_s = min(max(self._last_s, earliest_s) + turn_s, latest_s)
         booked_s = self._last_s
-        if in_turn_s < booked_s:
-            booked_s = min(self._find_room(in_turn_s, turn_s), booked_s)
-        self._last_of[owner] = booked_s
+        if fair_turn_s < booked_s:
+            booked_s = min(self._find_free_time(fair_turn_s, turn_s), booked_s)
+        self._last_by_owner[owner] = booked_s
         second = floor(booked_s)
-        self._work_s[second] = self._work_s.get(second, 0.0) + turn_s
+        self._booked_work_s[second] = self._booked_work_s.get(second, 0.0) + turn_s
         return booked_s - now_s
 
-    def _find_room(self, from_s: float, turn_s: float) -> float:
-        """Find a time in a second for which not too many are told to come."""
+    def _find_free_time(self, from_s: float, turn_s: float) -> float:
+        """Return the earliest time, from a given one on, with capacity left to book."""
         second = floor(from_s)
-        while self._work_s.get(second, 0.0) + turn_s > _MOST_WORK_RATIO:
+        while self._booked_work_s.get(second, 0.0) + turn_s > _MAX_BOOKED_RATIO:
             if second > self._last_s:
                 return inf
             second += 1
-        beyond_s = max(0.0, self._work_s.get(second, 0.0) - 1.0)
-        # What is more than can be done in it is spread over the second.
-        return max(from_s, second + beyond_s / (_MOST_WORK_RATIO - 1))
+        excess_s = max(0.0, self._booked_work_s.get(second, 0.0) - 1.0)
+        # Spread the overbooked work over the second.
+        return max(from_s, second + excess_s / (_MAX_BOOKED_RATIO - 1))
 
-    def _forget(self, now_s: float) -> None:
-        if now_s < self._forget_at_s:
+    def _remove_past(self, now_s: float) -> None:
+        if now_s < self._next_cleanup_s:
             return
-        self._forget_at_s = now_s + _FORGET_PAUSE_S
-        self._last_of = {
-            owner: last_s for owner, last_s in self._last_of.items() if last_s > now_s
+        self._next_cleanup_s = now_s + _CLEANUP_INTERVAL_S
+        self._last_by_owner = {
+            owner: last_s
+            for owner, last_s in self._last_by_owner.items()
+            if last_s > now_s
         }
-        present = floor(now_s)
-        self._work_s = {
+        current_second = floor(now_s)
+        self._booked_work_s = {
             second: work_s
-            for second, work_s in self._work_s.items()
-            if second >= present
+            for second, work_s in self._booked_work_s.items()
+            if second >= current_second
         }
--- a/src/agatethread/balancing/_turns.py
+++ b/src/agatethread/balancing/_turns.py
@@ -1,7 +1,7 @@
-"""Turns among owners of what waits; in an owner's line the first due goes first.
+"""Fair queue: round robin among owners, earliest deadline first within an owner.
 
-The load that this answers: more work than slots, most of it from one owner. However
-long its line is, another owner's first request waits for one round of turns only.
+Handles more work than slots, most of it from one owner: the first request of another
+owner waits for at most one round of turns.
 """
 
 from bisect import bisect_left, bisect_right, insort
@@ -13,170 +13,170 @@
 
 T = TypeVar("T", bound=Hashable)
 
-#: When an item is due, and a number of its own, so that items are never compared.
+#: Due time, sequence number and item; the number avoids comparing items.
 _Entry = tuple[float, int, T]
 
 
-class FairTurns(Generic[T]):
-    """Lines of several owners, who take turns.
+class FairQueue(Generic[T]):
+    """Queues of several owners that are served in turn.
 
-    An owner that has had its turn goes behind the others. What is put in takes a step
-    for each doubling of its line; lines that are empty are forgotten.
+    An owner goes behind the others after its turn. Empty queues are removed.
     """
 
     def __init__(self) -> None:
-        #: In the order of turns; a line is in the order of its items' due times.
-        self._lines: dict[str, list[_Entry[T]]] = {}
-        self._places: dict[T, tuple[str, float, int]] = {}
-        self._numbers = count()
+        #: In the order of turns; each queue is sorted by due time.
+        self._queues: dict[str, list[_Entry[T]]] = {}
+        self._positions: dict[T, tuple[str, float, int]] = {}
+        self._sequence_numbers = count()
 
     def __len__(self) -> int:
-        return len(self._places)
+        return len(self._positions)
 
     def __contains__(self, item: T) -> bool:
-        return item in self._places
+        return item in self._positions
 
     def push(self, owner: str, item: T, due_s: float) -> None:
-        """Put an item into its owner's line.
+        """Add an item to its owner's queue.
 
         Parameters
         ----------
         owner : str
-            Whose turn it uses.
+            Owner whose turn the item uses.
         item : object
-            Not yet in a line.
+            An item that is not queued yet.
         due_s : float
-            When it is due.
+            Due time.
         """
-        number = next(self._numbers)
-        insort(self._lines.setdefault(owner, []), (due_s, number, item))
-        self._places[item] = (owner, due_s, number)
+        number = next(self._sequence_numbers)
+        insort(self._queues.setdefault(owner, []), (due_s, number, item))
+        self._positions[item] = (owner, due_s, number)
 
     def pop(self) -> T | None:
-        """Take the item whose turn it is.
+        """Remove and return the next item.
 
         Returns
         -------
         object or None
-            The first due of the owner whose turn it is; None if nothing waits.
+            The first due item of the owner whose turn it is; None if the queue is
+            empty.
         """
-        if not self._lines:
+        if not self._queues:
             return None
-        owner = next(iter(self._lines))
-        line = self._lines.pop(owner)
-        _, _, item = line.pop(0)
-        del self._places[item]
-        if line:
-            self._lines[owner] = line
+        owner = next(iter(self._queues))
+        queue = self._queues.pop(owner)
+        _, _, item = queue.pop(0)
+        del self._positions[item]
+        if queue:
+            self._queues[owner] = queue
         return item
 
     def discard(self, item: T) -> bool:
-        """Take an item out of its line.
+        """Remove an item.
 
         Parameters
         ----------
         item : object
-            As it was put in.
+            The item.
 
         Returns
         -------
         bool
-            Whether it waited.
+            Whether it was queued.
         """
-        place = self._places.pop(item, None)
-        if place is None:
+        position = self._positions.pop(item, None)
+        if position is None:
             return False
-        owner, due_s, number = place
-        line = self._lines[owner]
-        del line[bisect_left(line, (due_s, number))]
-        if not line:
-            del self._lines[owner]
+        owner, due_s, number = position
+        queue = self._queues[owner]
+        del queue[bisect_left(queue, (due_s, number))]
+        if not queue:
+            del self._queues[owner]
         return True
 
     def count_ahead(self, owner: str, due_s: float) -> int:
-        """Count what may have its turn before an item that comes now.
+        """Return an upper bound of the items served before a new item.
 
         Parameters
         ----------
         owner : str
-            Its owner.
+            Owner of the new item.
         due_s : float
-            When it is due.
+            Due time of the new item.
 
         Returns
         -------
         int
-            Items due no later in its own line, and the others' in as many rounds and
-            one.
+            Items due no later in its owner's queue, plus those of other owners served
+            in as many rounds and one more.
         """
-        own_count = bisect_right(self._lines.get(owner, []), (due_s, inf))
+        own_count = bisect_right(self._queues.get(owner, []), (due_s, inf))
         return own_count + sum(
-            min(len(line), own_count + 1)
-            for other, line in self._lines.items()
+            min(len(queue), own_count + 1)
+            for other, queue in self._queues.items()
             if other != owner
         )
 
-    def take_last_of_longest(self, owner: str) -> T | None:
-        """Make room for an owner where another one has clearly more.
+    def evict_last_of_longest(self, owner: str) -> T | None:
+        """Remove and return an item of the longest queue to make room for an owner.
 
         Parameters
         ----------
         owner : str
-            Who wants to put an item in.
+            Owner of the item to be added.
 
         Returns
         -------
         object or None
-            What is due last in the longest line, taken out of it; None if that would
-            be no longer than the owner's line afterwards.
+            The item due last in the longest queue; None if that queue would then be
+            shorter than the owner's queue with the added item.
         """
-        longest = max(self._lines.values(), key=len, default=[])
-        own_count = len(self._lines.get(owner, []))
+        longest = max(self._queues.values(), key=len, default=[])
+        own_count = len(self._queues.get(owner, []))
         if len(longest) < own_count + 2:
             return None
         _, _, item = longest[-1]
         self.discard(item)
         return item
 
-    def take_hopeless(self, first_s: float, turn_s: float) -> list[T]:
-        """Take out what is due before its turn can have served it.
+    def pop_unservable(self, first_s: float, turn_s: float) -> list[T]:
+        """Remove and return the items that can't be served by their due time.
 
         Parameters
         ----------
         first_s : float
-            When the item whose turn is next can be done.
+            When the next item would be completed.
         turn_s : float
-            By how much later each further one is.
+            Time between the completion of one item and the next.
 
         Returns
         -------
         list of object
-            The items; they use no turns. In steps as many as items wait.
+            The items; they use no turns. Takes linear time in the queued items.
         """
-        lines = deque(deque(line) for line in self._lines.values())
-        done_s, hopeless = first_s, []
-        while lines:
-            line = lines.popleft()
-            while line and line[0][0] < done_s:
-                hopeless.append(line.popleft()[2])
-            if not line:
+        queues = deque(deque(queue) for queue in self._queues.values())
+        done_s, unservable = first_s, []
+        while queues:
+            queue = queues.popleft()
+            while queue and queue[0][0] < done_s:
+                unservable.append(queue.popleft()[2])
+            if not queue:
                 continue
-            line.popleft()
+            queue.popleft()
             done_s += turn_s
-            lines.append(line)
-        for item in hopeless:
+            queues.append(queue)
+        for item in unservable:
             self.discard(item)
-        return hopeless
+        return unservable
 
-    def take_all(self) -> list[T]:
-        """Take out all that waits.
+    def pop_all(self) -> list[T]:
+        """Remove and return all items.
 
         Returns
         -------
         list of object
             The items.
         """
-        items = list(self._places)
-        self._lines.clear()
-        self._places.clear()
+        items = list(self._positions)
+        self._queues.clear()
+        self._positions.clear()
         return items
--- a/src/agatethread/balancing/_waiting.py
+++ b/src/agatethread/balancing/_waiting.py
@@ -1,9 +1,8 @@
-"""Openings that wait for a place, in the order in which they get one.
+"""Priority queue of openings that wait for a slot.
 
-The load that this answers: for a moment more callers than places. The more urgent go
-first. Within an urgency, who can still be answered within its aim goes before who
-can't any more, for one that is late already loses little by being later; and of those
-the one that is due first. So a crowd that lasts is not served late as a whole.
+Handles short periods with more openings than slots. More urgent openings go first.
+Within a rank, openings that can still meet their aim go before late ones, in order of
+due time, so that a lasting burst does not make all of them late.
 """
 
 from collections.abc import Hashable
@@ -13,19 +12,18 @@
 from math import inf
 from typing import Generic, TypeVar
 
-from agatethread.balancing._admission import latest_place_s
-from agatethread.balancing._records import BEHIND_ALL, Opening
+from agatethread.balancing._admission import placement_deadline_s
+from agatethread.balancing._records import DEFERRED_RANK, Opening
 
 T = TypeVar("T")
 
-#: Each so many places, one goes to the first of a less urgent kind, of the kind whose
-#: first waits longest, so that none starves while the urgent alone fill all places.
-_FLOOR_EACH = 8
-#: Far more than a dispatcher can place within its callers' patience.
-_MOST_WAITING = 2_000
-#: Entries of heaps that are gone and kept: a heap is cleared of them when it holds more
-#: than these beside as many as wait.
-_MOST_GONE = 64
+#: Every n-th slot goes to the less urgent rank whose first opening has waited longest,
+#: to prevent starvation.
+_RESERVED_SLOT_INTERVAL = 8
+#: More than a dispatcher can place within the maximum placement delay.
+_MAX_WAITING = 2_000
+#: Removed entries stay in the heaps until they exceed the waiting ones by this number.
+_MAX_REMOVED = 64
 
 
 @dataclass(slots=True)
@@ -33,59 +31,63 @@
     opening: Opening
     key: Hashable
     item: T
-    latest_s: float
-    is_gone: bool = False
+    deadline_s: float
+    is_removed: bool = False
 
 
 @dataclass(slots=True)
-class _Class(Generic[T]):
-    """Those of one rank; entries of heaps that are gone are skipped."""
+class _RankQueue(Generic[T]):
+    """Openings of one rank; removed entries are deleted from the heaps lazily."""
 
     waiting_count: int = 0
-    #: By when they are due, and those that are late by when they asked.
+    #: Ordered by due time; late openings are ordered by request time.
     in_time: list[tuple[float, int, _Waiter[T]]] = field(default_factory=list)
     late: list[tuple[float, int, _Waiter[T]]] = field(default_factory=list)
 
-    def first(self, now_s: float, order: "count[int]") -> _Waiter[T] | None:
-        """Find who goes first; what has become late meanwhile goes behind."""
+    def find_first(
+        self, now_s: float, sequence_numbers: "count[int]"
+    ) -> _Waiter[T] | None:
+        """Return the first waiter, after moving those that have become late."""
         while self.in_time:
             due_s, _, waiter = self.in_time[0]
-            if not waiter.is_gone and due_s > now_s:
+            if not waiter.is_removed and due_s > now_s:
                 return waiter
             heappop(self.in_time)
-            if not waiter.is_gone:
-                heappush(self.late, (waiter.opening.asked_s, next(order), waiter))
+            if not waiter.is_removed:
+                heappush(
+                    self.late, (waiter.opening.asked_s, next(sequence_numbers), waiter)
+                )
         while self.late:
             waiter = self.late[0][2]
-            if not waiter.is_gone:
+            if not waiter.is_removed:
                 return waiter
             heappop(self.late)
         return None
 
-    def clear_gone(self) -> None:
-        """Drop what is gone, where much is: in a long crowd it is never first."""
-        held_count = len(self.in_time) + len(self.late)
-        if held_count <= 2 * self.waiting_count + _MOST_GONE:
+    def delete_removed(self) -> None:
+        """Delete removed entries if there are many; in a burst none comes first."""
+        entry_count = len(self.in_time) + len(self.late)
+        if entry_count <= 2 * self.waiting_count + _MAX_REMOVED:
             return
         for heap in (self.in_time, self.late):
-            heap[:] = [entry for entry in heap if not entry[2].is_gone]
+            heap[:] = [entry for entry in heap if not entry[2].is_removed]
             heapify(heap)
 
 
 class WaitingLine(Generic[T]):
-    """A bounded line with an order of its own.
+    """Bounded priority queue of openings.
 
     Parameters
     ----------
     limit_count : int, optional
-        Most that wait.
+        Maximum number of queued openings.
     """
 
-    def __init__(self, limit_count: int = _MOST_WAITING):
+    def __init__(self, limit_count: int = _MAX_WAITING):
         self._limit_count = limit_count
         self._by_key: dict[Hashable, _Waiter[T]] = {}
-        self._classes: dict[int, _Class[T]] = {}
-        self._order = count()
+        self._rank_queues: dict[int, _RankQueue[T]] = {}
+        self._sequence_numbers = count()
         self._pop_count = 0
 
     def __len__(self) -> int:
@@ -95,91 +97,96 @@
         return key in self._by_key
 
     def push(self, opening: Opening, key: Hashable, item: T, now_s: float) -> bool:
-        """Let an opening wait.
+        """Add an opening to the queue.
 
         Parameters
         ----------
         opening : Opening
             The opening.
         key : hashable
-            Names it; a copy has the same.
+            Identifies the opening; its copies have the same key.
         item : object
-            What `pop` returns.
+            Object that `pop` returns.
         now_s : float
-            Present time.
+            Current time.
 
         Returns
         -------
         bool
-            False if it waits already, too many do, or its caller has given up.
+            False if it is queued already, the queue is full, or its caller has given
+            up.
         """
         if key in self._by_key or len(self._by_key) >= self._limit_count:
             return False
-        waiter = _Waiter(opening, key, item, latest_place_s(opening))
-        if waiter.latest_s < now_s:
+        waiter = _Waiter(opening, key, item, placement_deadline_s(opening))
+        if waiter.deadline_s < now_s:
             return False
         self._by_key[key] = waiter
-        urgent = self._classes.setdefault(opening.rank, _Class())
-        urgent.waiting_count += 1
+        rank_queue = self._rank_queues.setdefault(opening.rank, _RankQueue())
+        rank_queue.waiting_count += 1
         due_s = opening.asked_s + opening.aim_s
-        heappush(urgent.in_time, (due_s, next(self._order), waiter))
+        heappush(rank_queue.in_time, (due_s, next(self._sequence_numbers), waiter))
         return True
 
     def pop(self, now_s: float) -> T | None:
-        """Take who gets the next place.
+        """Remove and return the opening that gets the next slot.
 
         Parameters
         ----------
         now_s : float
-            Present time.
+            Current time.
 
         Returns
         -------
         object or None
-            What was pushed; None if nobody waits whom a place still helps.
+            Item of the opening; None if no opening can be placed in time.
         """
         self._pop_count += 1
-        firsts = [
+        first_waiters = [
             waiter
-            for rank in sorted(self._classes)
-            if (waiter := self._first_of(rank, now_s)) is not None
+            for rank in sorted(self._rank_queues)
+            if (waiter := self._first_of_rank(rank, now_s)) is not None
         ]
-        if not firsts:
+        if not first_waiters:
             return None
-        chosen = firsts[0]
-        # The floor is for the less urgent, not for callers beyond their share.
-        later = [one for one in firsts[1:] if one.opening.rank < BEHIND_ALL]
-        if self._pop_count % _FLOOR_EACH == 0 and later:
-            chosen = min(later, key=lambda one: one.opening.asked_s)
+        chosen = first_waiters[0]
+        # Reserved slots are for less urgent openings, not for callers over their share.
+        less_urgent = [
+            waiter
+            for waiter in first_waiters[1:]
+            if waiter.opening.rank < DEFERRED_RANK
+        ]
+        if self._pop_count % _RESERVED_SLOT_INTERVAL == 0 and less_urgent:
+            chosen = min(less_urgent, key=lambda waiter: waiter.opening.asked_s)
         self._remove(chosen)
         return chosen.item
 
-    def _first_of(self, rank: int, now_s: float) -> _Waiter[T] | None:
-        """Find who goes first of a rank, without those that have given up."""
+    def _first_of_rank(self, rank: int, now_s: float) -> _Waiter[T] | None:
+        """Return the first waiter of a rank whose caller has not given up."""
         while True:
-            waiter = self._classes[rank].first(now_s, self._order)
-            if waiter is None or waiter.latest_s >= now_s:
+            waiter = self._rank_queues[rank].find_first(now_s, self._sequence_numbers)
+            if waiter is None or waiter.deadline_s >= now_s:
                 return waiter
-            # `take_expired` hands it out; here it only must not stand in the way.
-            waiter.is_gone = True
+            # Skip the expired waiter; `take_expired` returns it later.
+            waiter.is_removed = True
 
     def _remove(self, waiter: _Waiter[T]) -> None:
-        waiter.is_gone = True
+        waiter.is_removed = True
         del self._by_key[waiter.key]
-        self._classes[waiter.opening.rank].waiting_count -= 1
+        self._rank_queues[waiter.opening.rank].waiting_count -= 1
 
     def discard(self, key: Hashable) -> bool:
-        """Free the place in line of one that has left.
+        """Remove an opening.
 
         Parameters
         ----------
         key : hashable
-            As it was pushed.
+            Key of the opening.
 
         Returns
         -------
         bool
-            Whether it waited.
+            Whether it was queued.
         """
         waiter = self._by_key.get(key)
         if waiter is None:
@@ -188,49 +195,53 @@
         return True
 
     def take_expired(self, now_s: float) -> list[T]:
-        """Take those whose callers have given up, to be refused.
+        """Remove and return the openings whose callers have given up.
 
         Parameters
         ----------
         now_s : float
-            Present time.
+            Current time.
 
         Returns
         -------
         list of object
-            What was pushed.
+            Items of the openings.
         """
-        expired = [one for one in self._by_key.values() if one.latest_s < now_s]
+        expired = [
+            waiter for waiter in self._by_key.values() if waiter.deadline_s < now_s
+        ]
         for waiter in expired:
             self._remove(waiter)
-        for urgent in self._classes.values():
-            urgent.clear_gone()
+        for rank_queue in self._rank_queues.values():
+            rank_queue.delete_removed()
         return [waiter.item for waiter in expired]
 
     def count_ahead(self, rank: int) -> int:
-        """Count those that go before one that comes now.
+        """Return the number of openings ahead of a new one.
 
         Parameters
         ----------
         rank : int
-            Its rank: its urgency, or behind all.
+            Rank of the new opening.
 
         Returns
         -------
         int
-            All of this rank and before it.
+            Queued openings of this and all lower ranks.
         """
         return sum(
-            one.waiting_count for other, one in self._classes.items() if other <= rank
+            rank_queue.waiting_count
+            for other_rank, rank_queue in self._rank_queues.items()
+            if other_rank <= rank
         )
 
     def oldest_s(self) -> float:
-        """Tell when the one that waits longest asked.
+        """Return the request time of the opening that has waited longest.
 
         Returns
         -------
         float
-            Infinity if nobody waits.
+            Infinity if the queue is empty.
         """
-        asked_s = (one.opening.asked_s for one in self._by_key.values())
+        asked_s = (waiter.opening.asked_s for waiter in self._by_key.values())
         return min(asked_s, default=inf)
--- a/src/agatethread/operations/_queue.py
+++ b/src/agatethread/operations/_queue.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from agatethread.balancing import FairTurns, ReturnTimes, choose_retry_after_s
+from agatethread.balancing import FairQueue, RetrySchedule, choose_retry_after_s
 from agatethread.operations._records import RefusedError
 from agatethread.routing import Endpoint, choose_for_request
 from agatethread.settings import ServiceDocument
@@ -65,8 +65,8 @@
         self._endpoints = endpoints
         self._now_s = now_s
         self._draw = draw
-        self._turns: FairTurns[_Waiter] = FairTurns()
-        self._returns = ReturnTimes()
+        self._turns: FairQueue[_Waiter] = FairQueue()
+        self._retry_schedule = RetrySchedule()
         self._look_at_s = -math.inf
         #: Slots when there were any last, for the return after an outage.
         self._usual_slot_count = 1
@@ -161,7 +161,7 @@
 
     def _make_room(self, partner: str) -> None:
         """Refuse the last of whoever fills the queue, or else the one that comes."""
-        displaced = self._turns.take_last_of_longest(partner)
+        displaced = self._turns.evict_last_of_longest(partner)
         if displaced is None:
             raise self._refusal(Reason.OVERLOADED, partner)
         self._refuse(displaced, Reason.OVERLOADED)
@@ -172,7 +172,7 @@
         if wait_s == math.inf:
             wait_s = _NO_ENDPOINT_RETRY_S
         turn_s = self._service_time_s / self._usual_slot_count
-        booked_s = self._returns.book(partner, wait_s, turn_s, self._now_s())
+        booked_s = self._retry_schedule.book(partner, wait_s, turn_s, self._now_s())
         urgency = self._document().urgency
         retry_after_s = choose_retry_after_s(booked_s, urgency, self._draw())
         return RefusedError(reason, retry_after_s)
@@ -237,7 +237,7 @@
         # given here the other way.
         turn_s = self._service_time_s / slots / _WAIT_MARGIN
         first_s = now_s + turn_s + self._time_to_serve_s
-        for waiter in self._turns.take_hopeless(first_s, turn_s):
+        for waiter in self._turns.pop_unservable(first_s, turn_s):
             self._refuse(waiter, Reason.DEADLINE)
 
     def is_patient(self, waited_s: float) -> bool:
@@ -263,7 +263,7 @@
         reason : int
             A `Reason`.
         """
-        for waiter in self._turns.take_all():
+        for waiter in self._turns.pop_all():
             if not waiter.granted.done():
                 waiter.granted.set_exception(RefusedError(reason, 0.0))
 
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -5,14 +5,14 @@
 from hypothesis import strategies as st
 
 from agatethread.balancing import (
-    PATIENCE_S,
+    MAX_PLACEMENT_DELAY_S,
     Elsewhere,
     GroupLoad,
     Opening,
     Verdict,
     expected_wait_s,
     judge_opening,
-    latest_place_s,
+    placement_deadline_s,
 )
 
 LOADS = st.builds(
@@ -29,57 +29,61 @@
     aim_s=st.sampled_from([0.1, 0.5, inf]),
     timeout_s=st.sampled_from([0.3, 2.0, inf]),
 )
-AHEAD = st.integers(0, 2_000)
-#: None where nobody knows.
-ELSEWHERE = st.none() | st.builds(
+AHEAD_COUNTS = st.integers(0, 2_000)
+#: A wait of None is an unknown wait.
+ALTERNATIVES = st.none() | st.builds(
     Elsewhere, st.none() | st.floats(0.0, 2.0), st.booleans()
 )
 NOW_S = 2.0
 
 
 class TestJudgeOpening(unittest.TestCase):
-    @given(OPENINGS, LOADS, AHEAD, ELSEWHERE)
-    def test_free_place_is_given_out(self, opening, load, ahead, elsewhere):
-        """Nobody waits, leaves or is refused beside a place that nobody else gets."""
-        verdict = judge_opening(opening, load, ahead, NOW_S, elsewhere)
-        self.assertEqual(verdict is Verdict.PLACE, load.free_count > ahead)
+    @given(OPENINGS, LOADS, AHEAD_COUNTS, ALTERNATIVES)
+    def test_places_opening_while_slot_is_free(self, opening, load, ahead, alternative):
+        """An opening is placed exactly if more slots are free than openings ahead."""
+        decision = judge_opening(opening, load, ahead, NOW_S, alternative)
+        self.assertEqual(decision is Verdict.PLACE, load.free_count > ahead)
 
-    @given(OPENINGS, LOADS, AHEAD, ELSEWHERE)
-    def test_who_waits_can_be_served(self, opening, load, ahead, elsewhere):
-        """Nothing waits that its caller would have given up before its place comes."""
-        verdict = judge_opening(opening, load, ahead, NOW_S, elsewhere)
+    @given(OPENINGS, LOADS, AHEAD_COUNTS, ALTERNATIVES)
+    def test_queues_only_openings_that_meet_their_deadline(
+        self, opening, load, ahead, alternative
+    ):
+        """An opening is queued if its caller still waits then, and else refused."""
+        decision = judge_opening(opening, load, ahead, NOW_S, alternative)
         wait_s = expected_wait_s(load, ahead)
-        if verdict is Verdict.WAIT:
-            self.assertLessEqual(NOW_S + wait_s, latest_place_s(opening))
-        if verdict is Verdict.REFUSE:
-            self.assertGreater(NOW_S + wait_s, latest_place_s(opening))
+        if decision is Verdict.WAIT:
+            self.assertLessEqual(NOW_S + wait_s, placement_deadline_s(opening))
+        if decision is Verdict.REFUSE:
+            self.assertGreater(NOW_S + wait_s, placement_deadline_s(opening))
 
-    @given(OPENINGS, LOADS, AHEAD, ELSEWHERE)
-    def test_leaves_for_a_shorter_wait_only(self, opening, load, ahead, elsewhere):
-        """An opening goes elsewhere only if it may, and waits less there."""
+    @given(OPENINGS, LOADS, AHEAD_COUNTS, ALTERNATIVES)
+    def test_hands_over_only_for_shorter_wait(self, opening, load, ahead, alternative):
+        """An opening is handed over only to an alternative with a shorter wait."""
         wait_s = expected_wait_s(load, ahead)
-        verdict = judge_opening(opening, load, ahead, NOW_S, elsewhere)
-        if verdict is Verdict.HAND_OVER:
-            self.assertLess(elsewhere.wait_s or 0.0, wait_s)
-        verdict = judge_opening(opening, load, ahead, NOW_S, None)
-        self.assertIsNot(verdict, Verdict.HAND_OVER)
+        decision = judge_opening(opening, load, ahead, NOW_S, alternative)
+        if decision is Verdict.HAND_OVER:
+            self.assertLess(alternative.wait_s or 0.0, wait_s)
+        decision = judge_opening(opening, load, ahead, NOW_S, None)
+        self.assertIsNot(decision, Verdict.HAND_OVER)
 
-    def test_home_is_left_for_a_clearly_shorter_wait_only(self):
-        """Another failure domain must be 0.03 s better, the own one's others less."""
+    def test_other_failure_domain_needs_larger_margin(self):
+        """Handing over to another failure domain needs a larger gain in wait time."""
         opening, load = Opening(1, NOW_S, 0.4, 2.0), GroupLoad(0, 4, 5, 0.02)
-        for crosses, verdict in ((False, Verdict.HAND_OVER), (True, Verdict.WAIT)):
-            elsewhere = Elsewhere(0.0, crosses)
-            judged = judge_opening(opening, load, 4, NOW_S, elsewhere)
-            self.assertIs(judged, verdict)
+        for crosses, expected in ((False, Verdict.HAND_OVER), (True, Verdict.WAIT)):
+            alternative = Elsewhere(0.0, crosses)
+            decision = judge_opening(opening, load, 4, NOW_S, alternative)
+            self.assertIs(decision, expected)
 
-    @given(LOADS, AHEAD)
-    def test_more_ahead_wait_longer(self, load, ahead):
-        """One more ahead never shortens the wait."""
+    @given(LOADS, AHEAD_COUNTS)
+    def test_wait_grows_with_openings_ahead(self, load, ahead):
+        """One more opening ahead never shortens the expected wait."""
         before_s = expected_wait_s(load, ahead)
         self.assertGreaterEqual(expected_wait_s(load, ahead + 1), before_s)
 
     @given(OPENINGS)
-    def test_nothing_is_worth_placing_after_its_caller_left(self, opening):
-        """A place after the caller's patience or its timeout is never worth it."""
-        latest_s = latest_place_s(opening) - opening.asked_s
-        self.assertLessEqual(latest_s, min(PATIENCE_S, opening.timeout_s) + 1e-9)
+    def test_placement_deadline_is_bounded(self, opening):
+        """The deadline is within the maximum delay and the opening's timeout."""
+        latest_s = placement_deadline_s(opening) - opening.asked_s
+        self.assertLessEqual(
+            latest_s, min(MAX_PLACEMENT_DELAY_S, opening.timeout_s) + 1e-9
+        )
--- a/tests/balancing/test_dispatchers.py
+++ b/tests/balancing/test_dispatchers.py
@@ -13,28 +13,32 @@
 SERVERS = st.sets(st.integers(0, 2**64 - 1), max_size=60)
 
 
-def packed(numbers):
-    return [address(number) for number in numbers]
+def packed(server_ids):
+    return [address(server_id) for server_id in server_ids]
 
 
-def holders(numbers, dispatchers):
-    """Who holds each server."""
-    shares = share_out(numbers, dispatchers)
-    return {number: one for one, held in shares.items() for number in held}
+def dispatcher_by_server(server_ids, dispatchers):
+    """Return the dispatcher that each server is assigned to."""
+    shares = share_out(server_ids, dispatchers)
+    return {
+        server_id: dispatcher
+        for dispatcher, assigned in shares.items()
+        for server_id in assigned
+    }
 
 
 class TestChooseDispatchers(unittest.TestCase):
     @given(ENTRIES, st.integers(1, 300), st.integers(0, 500))
-    def test_one_that_joins_changes_one_choice(self, entries, joining, slots):
-        """One that joins or leaves takes one choice away at most, and adds one."""
+    def test_joining_instance_changes_one_dispatcher(self, entries, joining, slots):
+        """An instance that joins or leaves replaces at most one dispatcher."""
         without = set(choose_dispatchers(packed(entries - {joining}), slots))
         with_it = set(choose_dispatchers(packed(entries | {joining}), slots))
         self.assertLessEqual(len(without - with_it), 1)
         self.assertLessEqual(len(with_it - without), 1)
 
     @given(ENTRIES, st.integers(0, 500), st.randoms())
-    def test_alike_in_any_order(self, entries, slots, draw):
-        """The order in which instances are known does not matter."""
+    def test_choice_is_independent_of_order(self, entries, slots, draw):
+        """The order in which instances are listed does not change the choice."""
         shuffled = sorted(entries)
         draw.shuffle(shuffled)
         chosen = choose_dispatchers(packed(shuffled), slots)
@@ -45,12 +49,14 @@
 
 class TestShareOut(unittest.TestCase):
     @given(SERVERS, DISPATCHERS, st.randoms())
-    def test_even_whole_and_alike(self, servers, dispatchers, draw):
-        """Each server is held once, counts differ by one, in any order alike."""
+    def test_assignment_is_complete_and_balanced(self, servers, dispatchers, draw):
+        """Each server is assigned once, evenly, and independently of order."""
         shares = share_out(sorted(servers), packed(dispatchers))
-        held = sorted(number for some in shares.values() for number in some)
-        self.assertEqual(held, sorted(servers))
-        counts = [len(some) for some in shares.values()]
+        all_assigned = sorted(
+            server_id for assigned in shares.values() for server_id in assigned
+        )
+        self.assertEqual(all_assigned, sorted(servers))
+        counts = [len(assigned) for assigned in shares.values()]
         self.assertLessEqual(max(counts) - min(counts), 1)
         shuffled, others = list(servers), packed(dispatchers)
         draw.shuffle(shuffled)
@@ -58,35 +64,39 @@
         again = share_out(shuffled, others)
         self.assertEqual(again, shares)
 
-    def test_nobody_holds_nothing(self):
-        """Without dispatchers nothing is shared out."""
+    def test_no_dispatchers_no_assignment(self):
+        """Without dispatchers no server is assigned."""
         self.assertEqual(share_out([1, 2], []), {})
 
-    def moves(self, change):
-        """Servers that stay and change hands, on the mean and at most."""
+    def count_reassigned(self, modify):
+        """Return mean and maximum of the remaining servers that are reassigned."""
         counts = []
         for seed in range(60):
             draw = random.Random(seed)
             servers = [draw.getrandbits(64) for _ in range(20)]
             dispatchers = packed(draw.sample(range(1, 300), 4))
-            before = holders(servers, dispatchers)
-            change(draw, servers, dispatchers)
-            after = holders(servers, dispatchers)
-            stay = before.keys() & after.keys()
-            counts.append(sum(before[one] != after[one] for one in stay))
+            before = dispatcher_by_server(servers, dispatchers)
+            modify(draw, servers, dispatchers)
+            after = dispatcher_by_server(servers, dispatchers)
+            remaining = before.keys() & after.keys()
+            counts.append(
+                sum(before[server_id] != after[server_id] for server_id in remaining)
+            )
         return mean(counts), max(counts)
 
-    def test_server_that_comes_or_goes_moves_few(self):
-        """One server more or less moves few of 20 to another dispatcher."""
-        for change in (
+    def test_adding_or_removing_server_reassigns_few(self):
+        """Adding or removing one server reassigns few of 20."""
+        for modify in (
             lambda draw, servers, _: servers.append(draw.getrandbits(64)),
             lambda draw, servers, _: servers.remove(draw.choice(servers)),
         ):
-            on_the_mean, most = self.moves(change)
-            self.assertLess(on_the_mean, 2.5)
-            self.assertLess(most, 9)
-
-    def test_dispatcher_that_goes_moves_its_own_and_few_more(self):
-        """Of 20 servers the 5 of a dispatcher that goes move, and some for evenness."""
-        on_the_mean, _ = self.moves(lambda draw, _, some: some.pop(draw.randrange(4)))
-        self.assertLess(on_the_mean, 10)
+            mean_count, max_count = self.count_reassigned(modify)
+            self.assertLess(mean_count, 2.5)
+            self.assertLess(max_count, 9)
+
+    def test_removing_dispatcher_reassigns_few_other_servers(self):
+        """Removing a dispatcher reassigns its servers and few others."""
+        mean_count, _ = self.count_reassigned(
+            lambda draw, _, dispatchers: dispatchers.pop(draw.randrange(4))
+        )
+        self.assertLess(mean_count, 10)
--- a/tests/balancing/test_waiting.py
+++ b/tests/balancing/test_waiting.py
@@ -5,77 +5,80 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from agatethread.balancing import PATIENCE_S, Opening, WaitingLine
+from agatethread.balancing import MAX_PLACEMENT_DELAY_S, Opening, WaitingLine
 
 LIMIT = 12
 AIMS_S = st.sampled_from([0.0, 0.1, 0.4, inf])
 
 
-class LineMachine(RuleBasedStateMachine):
-    """A line beside a plain list that is sorted anew each time."""
+class WaitingLineMachine(RuleBasedStateMachine):
+    """Compares the queue with a plain dict that is sorted for each operation."""
 
     def __init__(self):
         super().__init__()
-        self.now_s, self.pops = 100.0, 0
-        self.line = WaitingLine(LIMIT)
+        self.now_s, self.pop_count = 100.0, 0
+        self.queue = WaitingLine(LIMIT)
         self.waiting = {}
 
     def rank(self, key):
-        """Sort key within an urgency; of two alike the first that came."""
-        one, number = self.waiting[key]
-        due_s = one.asked_s + one.aim_s
+        """Return the sort key within an urgency; ties are in order of arrival."""
+        opening, number = self.waiting[key]
+        due_s = opening.asked_s + opening.aim_s
         if due_s > self.now_s:
             return (False, due_s, number)
-        return (True, one.asked_s, number)
+        return (True, opening.asked_s, number)
 
-    def alive(self, urgency):
-        """Those of an urgency whom a place helps, in their order."""
+    def unexpired(self, urgency):
+        """Return the keys of an urgency that have not expired, in order."""
         keys = [
             key
-            for key, (one, _) in self.waiting.items()
-            if one.urgency == urgency
-            and self.now_s <= one.asked_s + min(PATIENCE_S, one.timeout_s)
+            for key, (opening, _) in self.waiting.items()
+            if opening.urgency == urgency
+            and self.now_s
+            <= opening.asked_s + min(MAX_PLACEMENT_DELAY_S, opening.timeout_s)
         ]
         return sorted(keys, key=self.rank)
 
     @rule(
         urgency=st.integers(0, 2),
-        ago_s=st.sampled_from([0.0, 0.1, 0.5, 1.29, 1.4]),
+        age_s=st.sampled_from([0.0, 0.1, 0.5, 1.29, 1.4]),
         aim_s=AIMS_S,
         timeout_s=st.sampled_from([0.2, 2.0]),
         key=st.integers(0, 20),
     )
-    def push(self, urgency, ago_s, aim_s, timeout_s, key):
-        # A tiny shift makes every time differ, so that there is one right order.
-        asked_s = self.now_s - ago_s - 1e-6 * self.line_number()
-        one = Opening(urgency, asked_s, aim_s, timeout_s)
-        is_worth = self.now_s <= asked_s + min(PATIENCE_S, timeout_s)
-        expected = key not in self.waiting and len(self.waiting) < LIMIT and is_worth
-        assert self.line.push(one, key, key, self.now_s) is expected
+    def push(self, urgency, age_s, aim_s, timeout_s, key):
+        # Make every time distinct, so that the expected order is unique.
+        asked_s = self.now_s - age_s - 1e-6 * self.next_number()
+        opening = Opening(urgency, asked_s, aim_s, timeout_s)
+        is_in_time = self.now_s <= asked_s + min(MAX_PLACEMENT_DELAY_S, timeout_s)
+        expected = key not in self.waiting and len(self.waiting) < LIMIT and is_in_time
+        assert self.queue.push(opening, key, key, self.now_s) is expected
         if expected:
-            self.waiting[key] = (one, self.number)
+            self.waiting[key] = (opening, self.number)
 
     number = 0
 
-    def line_number(self):
+    def next_number(self):
         self.number += 1
         return self.number
 
     @rule()
     def pop(self):
-        self.pops += 1
-        queues = [queue for urgency in range(3) if (queue := self.alive(urgency))]
-        expected = queues[0][0] if queues else None
-        if self.pops % 8 == 0 and len(queues) > 1:
-            firsts = [queue[0] for queue in queues[1:]]
+        self.pop_count += 1
+        ranked_keys = [
+            keys for urgency in range(3) if (keys := self.unexpired(urgency))
+        ]
+        expected = ranked_keys[0][0] if ranked_keys else None
+        if self.pop_count % 8 == 0 and len(ranked_keys) > 1:
+            firsts = [keys[0] for keys in ranked_keys[1:]]
             expected = min(firsts, key=lambda key: self.waiting[key][0].asked_s)
-        got = self.line.pop(self.now_s)
-        assert got == expected
-        self.waiting.pop(got, None)
+        popped = self.queue.pop(self.now_s)
+        assert popped == expected
+        self.waiting.pop(popped, None)
 
     @rule(key=st.integers(0, 20))
     def discard(self, key):
-        assert self.line.discard(key) is (self.waiting.pop(key, None) is not None)
+        assert self.queue.discard(key) is (self.waiting.pop(key, None) is not None)
 
     @rule(seconds=st.sampled_from([0.01, 0.1, 0.5]))
     def wait(self, seconds):
@@ -83,44 +86,51 @@
 
     @rule()
     def take_expired(self):
-        alive = {key for urgency in range(3) for key in self.alive(urgency)}
-        expired = sorted(set(self.waiting) - alive)
-        assert sorted(self.line.take_expired(self.now_s)) == expired
+        unexpired = {key for urgency in range(3) for key in self.unexpired(urgency)}
+        expired = sorted(set(self.waiting) - unexpired)
+        assert sorted(self.queue.take_expired(self.now_s)) == expired
         for key in expired:
             del self.waiting[key]
 
     @invariant()
     def counts_are_right(self):
-        assert len(self.line) == len(self.waiting) <= LIMIT
+        assert len(self.queue) == len(self.waiting) <= LIMIT
         for urgency in range(3):
-            ahead = [one for one, _ in self.waiting.values() if one.urgency <= urgency]
-            assert self.line.count_ahead(urgency) == len(ahead)
-        assert all(key in self.line for key in self.waiting)
+            ahead = [
+                opening
+                for opening, _ in self.waiting.values()
+                if opening.urgency <= urgency
+            ]
+            assert self.queue.count_ahead(urgency) == len(ahead)
+        assert all(key in self.queue for key in self.waiting)
 
 
-TestLineMachine = LineMachine.TestCase
-TestLineMachine.settings = settings(max_examples=150, deadline=None)
+TestWaitingLineMachine = WaitingLineMachine.TestCase
+TestWaitingLineMachine.settings = settings(max_examples=150, deadline=None)
 
 
 class TestWaitingLine(unittest.TestCase):
-    def test_long_crowd_leaves_nothing_behind(self):
-        """Openings that expire or leave behind others are not kept."""
-        line = WaitingLine()
+    def test_memory_is_bounded_in_long_burst(self):
+        """Entries of openings that expire or are removed are deleted."""
+        queue = WaitingLine()
         for number in range(20_000):
             now_s = number / 1_000
-            line.push(Opening(2, now_s, aim_s=0.1), number, number, now_s)
-            line.push(Opening(1, now_s), -number - 1, -number - 1, now_s)
-            line.discard(-number - 1)
+            queue.push(Opening(2, now_s, aim_s=0.1), number, number, now_s)
+            queue.push(Opening(1, now_s), -number - 1, -number - 1, now_s)
+            queue.discard(-number - 1)
             if number % 50 == 0:
-                line.pop(now_s)
-                line.take_expired(now_s)
-        held = sum(len(c.in_time) + len(c.late) for c in line._classes.values())
-        self.assertLess(held, 3 * len(line) + 200)
-
-    def test_urgent_do_not_starve_others(self):
-        """One of eight places goes to the less urgent."""
-        line = WaitingLine()
+                queue.pop(now_s)
+                queue.take_expired(now_s)
+        entry_count = sum(
+            len(rank_queue.in_time) + len(rank_queue.late)
+            for rank_queue in queue._rank_queues.values()
+        )
+        self.assertLess(entry_count, 3 * len(queue) + 200)
+
+    def test_urgent_openings_do_not_starve_others(self):
+        """One of eight slots goes to a less urgent opening."""
+        queue = WaitingLine()
         for number in range(40):
-            line.push(Opening(number % 2, number / 1_000), number, number, 0.1)
-        first = [line.pop(0.1) % 2 for _ in range(16)]
-        self.assertEqual(sum(first), 2)
+            queue.push(Opening(number % 2, number / 1_000), number, number, 0.1)
+        first_urgencies = [queue.pop(0.1) % 2 for _ in range(16)]
+        self.assertEqual(sum(first_urgencies), 2)
