--- a/src/agatethread/routing/__init__.py
+++ b/src/agatethread/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Backend servers as announced, and the choice among them."""
+"""Announced backend servers, routes and the selection of a backend server."""
 
 from agatethread.routing._choice import choose_for_request, choose_for_stream
 from agatethread.routing._endpoints import Endpoint, EndpointTable, Heard
--- a/src/agatethread/routing/_choice.py
+++ b/src/agatethread/routing/_choice.py
@@ -1,17 +1,17 @@
-"""Choose a backend server by our own counts first, and by outcomes."""
+"""Selection of a backend server by own load counts and recent failures."""
 
 from agatethread.routing._endpoints import Endpoint
 
-_LEAST_RAMP = 0.1
+_MIN_RAMP_SHARE = 0.1
 
 
-def _ramp(endpoint: Endpoint, now_s: float, ramp_s: float) -> float:
+def _ramp_share(endpoint: Endpoint, now_s: float, ramp_s: float) -> float:
     if ramp_s <= 0:
         return 1.0
-    grown = (now_s - endpoint.ramp_from_s) / ramp_s
-    if grown >= 1.0:
+    elapsed_share = (now_s - endpoint.ramp_from_s) / ramp_s
+    if elapsed_share >= 1.0:
         return 1.0
-    return max(_LEAST_RAMP, grown)
+    return max(_MIN_RAMP_SHARE, elapsed_share)
 
 
 def _is_usable(endpoint: Endpoint, now_s: float) -> bool:
@@ -25,67 +25,68 @@
 def choose_for_stream(
     endpoints: list[Endpoint], now_s: float, ramp_s: float
 ) -> Endpoint | None:
-    """Choose where a new flow goes: the fewest open streams for the weight.
+    """Return the backend server with the fewest open streams for its weight.
 
     Parameters
     ----------
     endpoints : list of Endpoint
         The service's backend servers.
     now_s : float
-        Present time.
+        Current time.
     ramp_s : float
-        Time over which a new one's share grows to full.
+        Time over which a new backend server's share grows to its full weight.
 
     Returns
     -------
     Endpoint or None
-        None when none may take another flow.
+        None if no backend server may receive another flow.
     """
-    best, best_load = None, (0.0, 0.0)
+    selected, lowest_load = None, (0.0, 0.0)
     for endpoint in endpoints:
         if not _is_usable(endpoint, now_s):
             continue
         streams = endpoint.streams + endpoint.inherited_streams
         if streams >= endpoint.connection_limit:
             continue
-        share = endpoint.weight * _ramp(endpoint, now_s, ramp_s)
+        share = endpoint.weight * _ramp_share(endpoint, now_s, ramp_s)
         load = ((streams + 1) / share, endpoint.last_used_s)
-        if best is None or load < best_load:
-            best, best_load = endpoint, load
-    return best
+        if selected is None or load < lowest_load:
+            selected, lowest_load = endpoint, load
+    return selected
 
 
 def choose_for_request(
     endpoints: list[Endpoint], now_s: float, ramp_s: float, avoid: Endpoint | None
 ) -> Endpoint | None:
-    """Choose where a request goes: a free slot, the least loaded, the longest unused.
+    """Return a backend server with a free slot: least loaded, then least recently used.
 
     Parameters
     ----------
     endpoints : list of Endpoint
         The service's backend servers.
     now_s : float
-        Present time.
+        Current time.
     ramp_s : float
-        Time over which a new one's slots open.
+        Time over which a new backend server's usable slots grow to all of them.
     avoid : Endpoint or None
-        One that has just failed this request; taken only if there is no other.
+        Backend server that has just failed this request; used only if there is no
+        other.
 
     Returns
     -------
     Endpoint or None
-        None when there is no free slot.
+        None if there is no free slot.
     """
-    best, best_load = None, (False, 0.0, 0.0)
+    selected, lowest_load = None, (False, 0.0, 0.0)
     for endpoint in endpoints:
         if not _is_usable(endpoint, now_s):
             continue
         slots = endpoint.slots
-        open_slots = max(1, int(slots * _ramp(endpoint, now_s, ramp_s)))
-        if endpoint.request_load >= min(slots, open_slots):
+        ramped_slots = max(1, int(slots * _ramp_share(endpoint, now_s, ramp_s)))
+        if endpoint.request_load >= min(slots, ramped_slots):
             continue
-        used = (endpoint.request_load + 1) / (slots * endpoint.weight)
-        load = (endpoint is avoid, used, endpoint.last_used_s)
-        if best is None or load < best_load:
-            best, best_load = endpoint, load
-    return best
+        relative_load = (endpoint.request_load + 1) / (slots * endpoint.weight)
+        load = (endpoint is avoid, relative_load, endpoint.last_used_s)
+        if selected is None or load < lowest_load:
+            selected, lowest_load = endpoint, load
+    return selected
--- a/src/agatethread/routing/_endpoints.py
+++ b/src/agatethread/routing/_endpoints.py
@@ -1,4 +1,4 @@
-"""Backend servers that announced themselves, by address, with what we count of each."""
+"""Table of announced backend servers by address, with own load counts of each."""
 
 import enum
 import math
@@ -6,16 +6,16 @@
 
 from agatethread.wire import Announcement
 
-_FIRST_PENALTY_S = 0.1
-_LONGEST_PENALTY_S = 5.0
-#: How long counts inherited from an earlier dispatcher are believed.
+_INITIAL_PENALTY_S = 0.1
+_MAX_PENALTY_S = 5.0
+#: How long requests inherited from an earlier dispatcher are counted.
 _INHERITED_LIFETIME_S = 30.0
-#: A service whose first backend server is older than this has started.
+#: A service with a backend server known for longer than this counts as established.
 _ESTABLISHED_S = 10.0
 
 
 class Heard(enum.Enum):
-    """What an announcement changed."""
+    """Result of applying an announcement."""
 
     STALE = enum.auto()
     REFRESHED = enum.auto()
@@ -30,7 +30,7 @@
     address : bytes
         Packed address.
     announcement : Announcement
-        What it last said of itself.
+        Its latest announcement.
     now_s : float
         Time of the announcement.
     """
@@ -43,7 +43,7 @@
         "drained",
         "failures",
         "gone",
-        "heard_first_s",
+        "first_announced_s",
         "in_flight",
         "incarnation",
         "inherited_in_flight",
@@ -62,15 +62,15 @@
 
     def __init__(self, address: bytes, announcement: Announcement, now_s: float):
         self.address = address
-        self._read(announcement)
+        self._apply_fields(announcement)
         self.service = announcement.service
         self.incarnation = announcement.incarnation
-        self.heard_first_s = now_s
+        self.first_announced_s = now_s
         self.ramp_from_s = now_s
         self.lease_until_s = now_s + announcement.lease_ms / 1000
         self.gone = False
         self.drained = False
-        #: Whether its failure domain is cut off from here.
+        #: Whether its failure domain is unreachable from here.
         self.out_of_sight = False
         self.weight = 1.0
         self.streams = 0
@@ -82,8 +82,8 @@
         self.penalty_until_s = 0.0
         self.last_used_s = 0.0
 
-    def _read(self, announcement: Announcement) -> None:
-        # Plain attributes, since each decision reads them of every backend server.
+    def _apply_fields(self, announcement: Announcement) -> None:
+        # Copied to plain attributes, which each selection reads of all backend servers.
         self.announcement = announcement
         self.slots = announcement.slots
         self.connection_limit = announcement.connection_limit
@@ -91,36 +91,36 @@
 
     @property
     def takes_new_work(self) -> bool:
-        """Whether it may be given new flows and requests."""
+        """Whether it may receive new flows and requests."""
         return not (self.gone or self.drained or self.closing or self.out_of_sight)
 
     @property
     def stream_load(self) -> int:
-        """Open streams, with those that an earlier dispatcher placed."""
+        """Open streams, including those that an earlier dispatcher placed."""
         return self.streams + self.inherited_streams
 
     @property
     def request_load(self) -> int:
-        """Requests in flight, with those that an earlier dispatcher sent."""
+        """Requests in flight, including those that an earlier dispatcher sent."""
         return self.in_flight + self.inherited_in_flight
 
     def refresh(self, announcement: Announcement, now_s: float) -> bool:
-        """Take a newer announcement of the same run.
+        """Apply a newer announcement of the same run.
 
         Parameters
         ----------
         announcement : Announcement
             The announcement.
         now_s : float
-            Time of it.
+            Time of the announcement.
 
         Returns
         -------
         bool
-            Whether it says anything that every instance must know.
+            Whether it changes anything that must be sent to every instance.
         """
         old = self.announcement
-        changed = self.gone != announcement.leaving or (
+        has_changed = self.gone != announcement.leaving or (
             old.draining,
             old.slots,
             old.connection_limit,
@@ -131,15 +131,15 @@
             announcement.connection_limit,
             announcement.failure_domain,
         )
-        self._read(announcement)
+        self._apply_fields(announcement)
         self.gone = announcement.leaving
         self.lease_until_s = now_s + announcement.lease_ms / 1000
-        self._settle_inherited(announcement, now_s)
-        return changed
+        self._lower_inherited(announcement, now_s)
+        return has_changed
 
-    def _settle_inherited(self, announcement: Announcement, now_s: float) -> None:
-        # Reports lag or lie, so they may only lower what was inherited and never
-        # touch what we counted ourselves.
+    def _lower_inherited(self, announcement: Announcement, now_s: float) -> None:
+        # Reports may be late or wrong, so they may lower inherited counts only, and
+        # never change own counts.
         if now_s >= self.inherited_until_s:
             self.inherited_in_flight = 0
         reported_streams = max(0, announcement.open_streams - self.streams)
@@ -148,12 +148,12 @@
         self.inherited_in_flight = min(self.inherited_in_flight, reported_in_flight)
 
     def inherit(self, now_s: float) -> None:
-        """Start counting from its own report, on becoming its dispatcher.
+        """Set inherited counts from its report, on becoming its dispatcher.
 
         Parameters
         ----------
         now_s : float
-            Time of the change.
+            Time of the takeover.
         """
         reported = self.announcement
         self.inherited_streams = max(0, reported.open_streams - self.streams)
@@ -161,38 +161,38 @@
         self.inherited_until_s = now_s + _INHERITED_LIFETIME_S
 
     def extend_lease(self, now_s: float) -> None:
-        """Give it the time of one lease, without having heard of it.
+        """Extend its lease to a full period from now, without an announcement.
 
         Parameters
         ----------
         now_s : float
-            Present time.
+            Current time.
         """
         lease_until_s = now_s + self.announcement.lease_ms / 1000
         self.lease_until_s = max(self.lease_until_s, lease_until_s)
 
     def succeed(self) -> None:
-        """Note that it did its work."""
+        """Reset its consecutive failures after successful work."""
         self.failures = 0
 
     def fail(self, now_s: float, retry_after_s: float = 0.0) -> None:
-        """Note that it shed, refused or lost its work; keep away for a while.
+        """Record a failure and avoid it for an exponential backoff.
 
         Parameters
         ----------
         now_s : float
             Time of the failure.
         retry_after_s : float, default=0.0
-            What it asked for itself.
+            Backoff that it requested.
         """
         self.failures += 1
-        backoff_s = _FIRST_PENALTY_S * 2 ** min(self.failures - 1, 10)
-        pause_s = min(max(backoff_s, retry_after_s), _LONGEST_PENALTY_S)
+        backoff_s = _INITIAL_PENALTY_S * 2 ** min(self.failures - 1, 10)
+        pause_s = min(max(backoff_s, retry_after_s), _MAX_PENALTY_S)
         self.penalty_until_s = now_s + pause_s
 
 
 class EndpointTable:
-    """All known backend servers; an address belongs to one run at a time."""
+    """All announced backend servers; an address belongs to one run at a time."""
 
     def __init__(self) -> None:
         self.by_address: dict[bytes, Endpoint] = {}
@@ -201,64 +201,64 @@
     def hear(
         self, address: bytes, announcement: Announcement, now_s: float
     ) -> tuple[Heard, Endpoint | None]:
-        """Take an announcement.
+        """Apply an announcement.
 
         Parameters
         ----------
         address : bytes
-            Packed address that it speaks for.
+            Packed address of the announced backend server.
         announcement : Announcement
             The announcement.
         now_s : float
-            Time of it.
+            Time of the announcement.
 
         Returns
         -------
         tuple of (Heard, Endpoint or None)
-            What it changed, and the run that it displaced from the address, if any.
+            The result, and the run that was replaced at the address, if any.
         """
-        known = self.by_address.get(address)
-        if known is not None and announcement.incarnation < known.incarnation:
+        current = self.by_address.get(address)
+        if current is not None and announcement.incarnation < current.incarnation:
             return Heard.STALE, None
-        if known is not None and announcement.incarnation == known.incarnation:
-            return self._hear_again(known, announcement, now_s), None
+        if current is not None and announcement.incarnation == current.incarnation:
+            return self._refresh(current, announcement, now_s), None
 
-        if known is not None:
-            self._drop(known)
+        if current is not None:
+            self._delete(current)
         endpoint = Endpoint(address, announcement, now_s)
         endpoint.gone = announcement.leaving
         if not self._is_established(endpoint.service, now_s):
             endpoint.ramp_from_s = -math.inf
         self.by_address[address] = endpoint
         self._by_service.setdefault(endpoint.service, {})[address] = endpoint
-        return Heard.CHANGED, known
+        return Heard.CHANGED, current
 
     def _is_established(self, service: str, now_s: float) -> bool:
-        # Where all are new none is spared; a ramp is against those that serve already.
+        # A ramp is relative to established backend servers; without any there is none.
         return any(
-            not other.gone and now_s - other.heard_first_s > _ESTABLISHED_S
+            not other.gone and now_s - other.first_announced_s > _ESTABLISHED_S
             for other in self._by_service.get(service, {}).values()
         )
 
-    def _hear_again(
-        self, known: Endpoint, announcement: Announcement, now_s: float
+    def _refresh(
+        self, current: Endpoint, announcement: Announcement, now_s: float
     ) -> Heard:
-        if announcement.service != known.service:
+        if announcement.service != current.service:
             return Heard.STALE
         order = (announcement.sequence, announcement.leaving)
-        if order <= (known.announcement.sequence, known.announcement.leaving):
+        if order <= (current.announcement.sequence, current.announcement.leaving):
             return Heard.STALE
 
-        changed = known.refresh(announcement, now_s)
-        return Heard.CHANGED if changed else Heard.REFRESHED
+        has_changed = current.refresh(announcement, now_s)
+        return Heard.CHANGED if has_changed else Heard.REFRESHED
 
-    def _drop(self, endpoint: Endpoint) -> None:
+    def _delete(self, endpoint: Endpoint) -> None:
         endpoint.gone = True
         del self.by_address[endpoint.address]
         self._by_service[endpoint.service].pop(endpoint.address, None)
 
     def of_service(self, service: str) -> list[Endpoint]:
-        """List a service's backend servers.
+        """Return a service's backend servers.
 
         Parameters
         ----------
@@ -268,54 +268,55 @@
         Returns
         -------
         list of Endpoint
-            Also those that take no new work.
+            Includes those that receive no new work.
         """
         return list(self._by_service.get(service, {}).values())
 
     def services(self) -> list[str]:
-        """List the services that backend servers were announced for.
+        """Return the services that backend servers were announced for.
 
         Returns
         -------
         list of str
-            Names.
+            Names of the services.
         """
         return list(self._by_service)
 
     def expired(
-        self, now_s: float, is_holder: Callable[[str], bool]
+        self, now_s: float, is_lease_holder: Callable[[str], bool]
     ) -> Iterator[Endpoint]:
-        """Find the backend servers whose lease has run out.
+        """Yield the backend servers whose lease has expired.
 
         Parameters
         ----------
         now_s : float
-            Present time.
-        is_holder : callable
-            Tells whether this instance holds the leases of a service.
+            Current time.
+        is_lease_holder : callable
+            Returns whether this instance holds the leases of a service.
 
         Yields
         ------
         Endpoint
-            One that is not yet marked gone.
+            A backend server that is not yet marked gone.
         """
         for service, endpoints in self._by_service.items():
-            if not is_holder(service):
+            if not is_lease_holder(service):
                 continue
             for endpoint in endpoints.values():
                 if not endpoint.gone and endpoint.lease_until_s < now_s:
                     yield endpoint
 
-    def forget_gone(self, now_s: float, keep_s: float) -> None:
-        """Drop records of backend servers that left long ago.
+    def forget_gone(self, now_s: float, retention_s: float) -> None:
+        """Delete records of gone backend servers after a retention time.
 
         Parameters
         ----------
         now_s : float
-            Present time.
-        keep_s : float
-            How long after the lease's end a record is kept, so that callers are told.
+            Current time.
+        retention_s : float
+            Time after the lease's end for which a record is kept, so that callers can
+            still be notified.
         """
         for endpoint in list(self.by_address.values()):
-            if endpoint.gone and endpoint.lease_until_s + keep_s < now_s:
-                self._drop(endpoint)
+            if endpoint.gone and endpoint.lease_until_s + retention_s < now_s:
+                self._delete(endpoint)
--- a/src/agatethread/routing/_flows.py
+++ b/src/agatethread/routing/_flows.py
@@ -1,27 +1,27 @@
-"""Flows that this instance placed, so that load is counted and nothing else.
+"""Table of the flows that this instance placed, for counting load.
 
-No flow needs its record here to stay up: its cookie is enough.
+Packets of a flow are forwarded by its cookie and need no record here.
 """
 
 from agatethread.routing._endpoints import Endpoint
 
 
 class _Placement:
-    __slots__ = ("caller", "endpoint", "opened")
+    __slots__ = ("caller", "endpoint", "is_confirmed")
 
     def __init__(self, endpoint: Endpoint, caller: bytes):
         self.endpoint = endpoint
         self.caller = caller
-        self.opened = False
+        self.is_confirmed = False
 
 
 class FlowTable:
-    """Placements by service and flow, bounded in number.
+    """Bounded table of placements by flow.
 
     Parameters
     ----------
     limit_count : int
-        Most flows kept.
+        Maximum number of flows.
     """
 
     def __init__(self, limit_count: int):
@@ -33,11 +33,11 @@
 
     @property
     def is_full(self) -> bool:
-        """Whether no further flow can be counted."""
+        """Whether no further flow can be added."""
         return len(self._placements) >= self._limit_count
 
     def find(self, flow_id: int) -> Endpoint | None:
-        """Find where a flow was placed.
+        """Return the backend server that a flow was placed on.
 
         Parameters
         ----------
@@ -47,28 +47,28 @@
         Returns
         -------
         Endpoint or None
-            None if it was not placed here.
+            None if this instance did not place it.
         """
         placement = self._placements.get(flow_id)
         return placement.endpoint if placement else None
 
     def place(self, flow_id: int, endpoint: Endpoint, caller: bytes) -> None:
-        """Record a new placement and count it.
+        """Add a new placement and count it.
 
         Parameters
         ----------
         flow_id : int
             The flow.
         endpoint : Endpoint
-            Where it goes.
+            The backend server that it is placed on.
         caller : bytes
-            Packed address to tell if the backend server dies.
+            Packed address to notify if the backend server fails.
         """
         self._placements[flow_id] = _Placement(endpoint, caller)
         endpoint.streams += 1
 
     def confirm(self, flow_id: int) -> bool:
-        """Note that the backend server took a flow.
+        """Mark a flow as accepted by its backend server.
 
         Parameters
         ----------
@@ -78,16 +78,16 @@
         Returns
         -------
         bool
-            Whether this is the first time.
+            Whether it was not marked before.
         """
         placement = self._placements.get(flow_id)
-        if placement is None or placement.opened:
+        if placement is None or placement.is_confirmed:
             return False
-        placement.opened = True
+        placement.is_confirmed = True
         return True
 
     def is_confirmed(self, flow_id: int) -> bool:
-        """Tell whether the backend server took a flow.
+        """Return whether the backend server has accepted a flow.
 
         Parameters
         ----------
@@ -97,20 +97,20 @@
         Returns
         -------
         bool
-            False if it is not known here.
+            False if this instance did not place it.
         """
         placement = self._placements.get(flow_id)
-        return placement is not None and placement.opened
+        return placement is not None and placement.is_confirmed
 
     def remove(self, flow_id: int, endpoint: Endpoint | None) -> None:
-        """Uncount a flow that ended.
+        """Remove a flow that has ended and lower the load count.
 
         Parameters
         ----------
         flow_id : int
             The flow.
         endpoint : Endpoint or None
-            Where it was, for a flow that an earlier dispatcher placed.
+            Its backend server, for a flow that an earlier dispatcher placed.
         """
         placement = self._placements.pop(flow_id, None)
         if placement is not None:
@@ -120,7 +120,7 @@
             endpoint.inherited_streams -= 1
 
     def remove_endpoint(self, endpoint: Endpoint) -> list[tuple[int, bytes]]:
-        """Uncount every flow of a backend server that died.
+        """Remove every flow of a failed backend server.
 
         Parameters
         ----------
--- a/src/agatethread/routing/_open_flows.py
+++ b/src/agatethread/routing/_open_flows.py
@@ -1,26 +1,26 @@
-"""What becomes of a packet of an open flow, whatever names its backend server.
+"""Decision about packets of open flows.
 
-Both forwarders decide by this: the one of the project's own protocol, whose packets
-carry a sealed cookie, and the one for packets with a 32-bit label.
+Used by both forwarders: for packets with a sealed cookie (the project's own protocol)
+and for packets with a 32-bit label.
 
 ==================  =================  =====================  ===========
-The run is          service allowed    run                    outcome
+Run is known        service allowed    state of the run       outcome
 ==================  =================  =====================  ===========
-not known           -                  -                      dropped
-known               no                 -                      dropped
-known               yes                ended or replaced      reset
-known               yes                other                  forwarded
+no                  -                  -                      dropped
+yes                 no                 -                      dropped
+yes                 yes                ended or replaced      reset
+yes                 yes                other                  forwarded
 ==================  =================  =====================  ===========
 
-A reset tells the caller that its flow is over, so it is sent on knowledge only. What is
-dropped comes again, and may be known by then.
+A reset ends the flow at the caller, so it is sent only if the run is known to have
+ended. A dropped packet is sent again by the caller, when the run may be known.
 """
 
 from enum import Enum
 
 
 class OpenFlowOutcome(Enum):
-    """What becomes of a packet; the value is the reason in counters and logs."""
+    """Outcome for a packet; the value is the reason in counters and logs."""
 
     FORWARD = "forwarded"
     RESET = "backend_ended"
@@ -31,18 +31,18 @@
 def judge_open_flow(
     is_known: bool, is_allowed: bool, has_ended: bool
 ) -> OpenFlowOutcome:
-    """Decide about a packet of an open flow.
+    """Return the outcome for a packet of an open flow.
 
     Parameters
     ----------
     is_known : bool
-        Whether the packet names a run that is known, or is proof itself that there
-        was one.
+        Whether the packet identifies a known run, or proves by itself that the run
+        existed.
     is_allowed : bool
-        Whether the packet's destination is, or was when the flow was opened, of the
-        run's service.
+        Whether the packet's destination belongs to the run's service, or did when the
+        flow was opened.
     has_ended : bool
-        Whether the run is known to have ended, or its address to belong to another.
+        Whether the run has ended, or its address belongs to another run.
 
     Returns
     -------
--- a/src/agatethread/routing/_table.py
+++ b/src/agatethread/routing/_table.py
@@ -1,4 +1,4 @@
-"""The routing table: which service takes the new flows of an address and port."""
+"""Routing documents, and the routing table by address and port."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass, field
@@ -17,17 +17,17 @@
     TableRoute,
 )
 
-#: Of a route whose document says nothing of it: less urgent than all that do.
+#: Urgency of routes whose document sets none: below all that can be set.
 URGENCY_NOT_TOLD = 1_000
-#: What fits the 32 bits of a registry message.
-_LONGEST_MS = (1 << 32) - 1
-#: Highest number that a document may give; 0 is the most urgent.
+#: Largest value of a 32-bit field of a registry message.
+_MAX_TIMEOUT_MS = (1 << 32) - 1
+#: Highest number that a document may set; 0 is the most urgent.
 LOWEST_URGENCY = URGENCY_NOT_TOLD - 1
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A service, and its share of a route's new flows."""
+    """A service and its share of a route's new flows."""
 
     service: str
     weight: int
@@ -40,21 +40,21 @@
     Attributes
     ----------
     name : str
-        For messages.
+        Name in messages.
     host : int
         IPv4 address that callers send to, as a number.
     port : int
         Port that callers send to.
     targets : tuple of Target
-        Where new flows go.
+        Services that receive new flows.
     timeout_ms : int
         Longest time that a request may take.
     idempotent : bool
-        Whether callers may send its requests again, whatever became of them.
+        Whether callers may always retry its requests.
     urgency : int, optional
-        0 is the most urgent; whoever is less urgent waits for the others.
+        0 is the most urgent; less urgent openings wait for more urgent ones.
     aim_ms : int, optional
-        Within which callers want an answer; 0 if that is not said.
+        Time within which callers want an answer; 0 if not set.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdLimit:
-    """What a service's backend servers bear while they are cold."""
+    """Rate limit of a service's backend servers while they are cold."""
 
     service: str
     rate_per_s: float
@@ -82,13 +82,13 @@
     Attributes
     ----------
     version : int
-        The highest is in force.
+        The highest version is in force.
     services : tuple of str
-        Their names.
+        Names of the services.
     rules : tuple of RouteRule
         The routes.
     cold_limits : tuple of ColdLimit, optional
-        Of the services that have one.
+        Rate limits of cold backend servers, for services that have one.
     """
 
     version: int
@@ -98,7 +98,7 @@
 
 
 def check_document(document: RoutingDocument) -> None:
-    """Check that a document can be put in force.
+    """Check that a document is valid.
 
     Parameters
     ----------
@@ -108,7 +108,7 @@
     Raises
     ------
     DocumentError
-        With an error for each fault.
+        If it is invalid; contains an error for each fault.
     """
     faults = list(_find_faults(document))
     if faults:
@@ -120,18 +120,22 @@
     services = set(document.services)
     if len(services) != len(document.services):
         yield FieldError(source, "services", document.services, "distinct names")
-    places: dict[tuple[int, int], str] = {}
+    route_by_address: dict[tuple[int, int], str] = {}
     for rule in document.rules:
         field = f"routes[{rule.name}]"
-        other = places.get((rule.host, rule.port))
-        if other is not None:
-            yield RouteConflictError(source, field, other, "an address of its own")
-        places[rule.host, rule.port] = rule.name
+        conflicting_route = route_by_address.get((rule.host, rule.port))
+        if conflicting_route is not None:
+            yield RouteConflictError(
+                source, field, conflicting_route, "an address and port of its own"
+            )
+        route_by_address[rule.host, rule.port] = rule.name
         if rule.timeout_ms <= 0:
             expected = "more than 0 (milliseconds)"
             yield FieldError(source, f"{field}.timeout_ms", rule.timeout_ms, expected)
         if sum(target.weight for target in rule.targets) <= 0:
-            yield FieldError(source, f"{field}.targets", rule.targets, "some weight")
+            yield FieldError(
+                source, f"{field}.targets", rule.targets, "a total weight above 0"
+            )
         for target in rule.targets:
             if target.service not in services:
                 expected = "a service of this document"
@@ -139,27 +143,27 @@
 
 
 def encode_table(document: RoutingDocument) -> RoutingTable:
-    """Write what entry instances need of a document.
+    """Return the routing table message of a document for entry instances.
 
     Parameters
     ----------
     document : RoutingDocument
-        A checked document.
+        A valid document.
 
     Returns
     -------
     RoutingTable
-        Its addresses, ports and services.
+        The message.
     """
-    position = {service: index for index, service in enumerate(document.services)}
+    service_index = {service: index for index, service in enumerate(document.services)}
     table = RoutingTable(version=document.version, services=document.services)
     for limit in document.cold_limits:
         table.cold_rates.append(
-            ColdRate(service=position[limit.service], rate_per_s=limit.rate_per_s)
+            ColdRate(service=service_index[limit.service], rate_per_s=limit.rate_per_s)
         )
     for rule in document.rules:
         targets = [
-            RouteTarget(service=position[target.service], weight=target.weight)
+            RouteTarget(service=service_index[target.service], weight=target.weight)
             for target in rule.targets
         ]
         route = TableRoute(
@@ -168,7 +172,7 @@
             targets=targets,
             idempotent=rule.idempotent,
             aim_ms=rule.aim_ms,
-            timeout_ms=min(rule.timeout_ms, _LONGEST_MS),
+            timeout_ms=min(rule.timeout_ms, _MAX_TIMEOUT_MS),
         )
         if rule.urgency != URGENCY_NOT_TOLD:
             route.urgency = rule.urgency
@@ -177,53 +181,59 @@
 
 
 def keep_earlier_services(table: RoutingTable, before: RoutingTable) -> None:
-    """Note in a table which services the same routes had in earlier versions.
+    """Add to a table's routes the services that they had in earlier versions.
 
-    An entry instance that starts late still has to forward their open flows.
+    Entry instances that start later need them to forward open flows.
 
     Parameters
     ----------
     table : RoutingTable
-        The new table; it is changed.
+        The new table, which is modified.
     before : RoutingTable
-        The one that it replaces.
+        The table that it replaces.
     """
-    position = {service: index for index, service in enumerate(table.services)}
+    service_index = {service: index for index, service in enumerate(table.services)}
     old_routes = {(route.host, route.port): route for route in before.routes}
     same_services = table.services == before.services
     for route in table.routes:
-        old = old_routes.get((route.host, route.port))
-        if old is None:
+        old_route = old_routes.get((route.host, route.port))
+        if old_route is None:
             continue
-        if same_services and not old.earlier and old.targets == route.targets:
-            # Nearly all of a large table: 1,600 routes take 1.8 ms and not 5.3, and a
-            # start applies up to `snapshot_entry_count` tables before it serves one.
+        if (
+            same_services
+            and not old_route.earlier
+            and old_route.targets == route.targets
+        ):
+            # Skips most routes of a large table. A starting control instance applies up
+            # to `snapshot_entry_count` tables before it can serve one.
             continue
-        present = {target.service for target in route.targets}
-        known = [target.service for target in old.targets] + list(old.earlier)
-        for service in dict.fromkeys(known):
+        listed = {target.service for target in route.targets}
+        earlier_services = [target.service for target in old_route.targets] + list(
+            old_route.earlier
+        )
+        for service in dict.fromkeys(earlier_services):
             name = before.services[service]
-            if name not in position:
-                position[name] = len(table.services)
+            if name not in service_index:
+                service_index[name] = len(table.services)
                 table.services.append(name)
-            if position[name] not in present:
-                present.add(position[name])
-                route.earlier.append(position[name])
+            if service_index[name] not in listed:
+                listed.add(service_index[name])
+                route.earlier.append(service_index[name])
 
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """What an entry instance knows of a route."""
+    """Route as used by an entry instance."""
 
     targets: tuple[Target, ...]
     #: Services that its open flows may belong to.
     services: frozenset[str]
-    #: Whether callers may send its requests again, whatever became of them.
+    #: Whether callers may always retry its requests.
     idempotent: bool = False
     #: 0 is the most urgent.
     urgency: int = URGENCY_NOT_TOLD
-    #: Within which callers want an answer, and after which it is of no use to them;
-    #: infinity where the document does not say, or a table of an earlier version.
+    #: Time within which callers want an answer, and after which they discard it;
+    #: infinity if not set or in a table of an earlier format.
     aim_s: float = inf
     timeout_s: float = inf
 
@@ -234,16 +244,16 @@
 
     version: int
     routes: Mapping[tuple[int, int], Route]
-    #: Requests a second that a cold backend server of a service bears, where limited.
+    #: Rate limit of a cold backend server, for services that have one.
     cold_rates_per_s: Mapping[str, float] = field(default_factory=dict)
 
 
-#: Before any table has arrived.
+#: Initial table, before one is received.
 NO_ROUTES = RouteTable(0, {})
 
 
 def decode_table(table: RoutingTable) -> RouteTable:
-    """Read a table that a control instance sent.
+    """Return the route table of a message from a control instance.
 
     Parameters
     ----------
@@ -253,7 +263,7 @@
     Returns
     -------
     RouteTable
-        Ready for look-ups.
+        Routes by address and port.
     """
     routes = {}
     for route in table.routes:
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -25,18 +25,18 @@
 
 
 def rule(name="r-1", port=443, service="tab", timeout_ms=1_000, weight=1):
-    """A route to one service."""
+    """Return a route to one service."""
     return RouteRule(name, 0xC6120001, port, (Target(service, weight),), timeout_ms)
 
 
 def document(*rules, version=1, services=("tab", "archive")):
-    """A document of some routes."""
+    """Return a document with the given routes."""
     return RoutingDocument(version, services, rules)
 
 
 class TestColdLimits(unittest.TestCase):
     def test_limits_reach_entry_instances(self):
-        """Also where a later table lists its services in another order."""
+        """Rate limits are decoded, also if a later table lists services differently."""
         first = RoutingDocument(
             1, ("tab", "archive"), (rule(),), (ColdLimit("archive", 20.0),)
         )
@@ -49,38 +49,38 @@
         self.assertEqual(decode_table(later).cold_rates_per_s, {"archive": 0.0})
 
 
-class TestWhatCallersWant(unittest.TestCase):
+class TestUrgencyAndTimes(unittest.TestCase):
     def test_urgency_and_times_reach_entry_instances(self):
-        """The most urgent number is told apart from a document that names none."""
+        """Urgency 0 is distinguished from an urgency that is not set."""
         target = (Target("tab", 1),)
-        urgent = RouteRule("r-1", 1, 443, target, 2_000, urgency=0, aim_ms=400)
-        silent = RouteRule("r-2", 1, 444, target, 1 << 40)
-        table = decode_table(encode_table(document(urgent, silent)))
+        most_urgent = RouteRule("r-1", 1, 443, target, 2_000, urgency=0, aim_ms=400)
+        without_urgency = RouteRule("r-2", 1, 444, target, 1 << 40)
+        table = decode_table(encode_table(document(most_urgent, without_urgency)))
         route, other = table.routes[1, 443], table.routes[1, 444]
         self.assertEqual((route.urgency, route.aim_s, route.timeout_s), (0, 0.4, 2.0))
         self.assertEqual((other.urgency, other.aim_s), (URGENCY_NOT_TOLD, inf))
 
-    def test_table_of_an_earlier_version_is_read(self):
-        """A table in the log that tells neither leaves both open."""
+    def test_table_of_earlier_format_is_decoded(self):
+        """A stored table without urgency and times gets the defaults."""
         before = RoutingTable(version=1, services=["tab"])
         before.routes.add(host=1, port=443).targets.add(weight=1)
         route = decode_table(before).routes[1, 443]
-        told = (route.urgency, route.aim_s, route.timeout_s)
-        self.assertEqual(told, (URGENCY_NOT_TOLD, inf, inf))
+        decoded = (route.urgency, route.aim_s, route.timeout_s)
+        self.assertEqual(decoded, (URGENCY_NOT_TOLD, inf, inf))
 
 
 class TestCheckDocument(unittest.TestCase):
-    def faults_of(self, checked):
+    def faults_of(self, invalid_document):
         with self.assertRaises(DocumentError) as caught:
-            check_document(checked)
+            check_document(invalid_document)
         return [type(fault) for fault in caught.exception.exceptions]
 
-    def test_sound_document_passes(self):
-        """Routes that differ in their port are no conflict."""
+    def test_accepts_valid_document(self):
+        """Routes that differ only in their port do not conflict."""
         check_document(document(rule(), rule("r-2", port=444)))
 
     def test_each_fault_has_its_type(self):
-        """Every kind of fault is told by its type."""
+        """Each kind of fault is reported as an error of its own type."""
         cases = (
             (document(rule(service="nobody")), UnknownServiceError),
             (document(rule(), rule("r-2")), RouteConflictError),
@@ -89,25 +89,25 @@
             (document(rule(weight=0)), FieldError),
             (document(services=("tab", "tab")), FieldError),
         )
-        for checked, kind in cases:
-            with self.subTest(kind=kind, checked=checked):
-                self.assertEqual(self.faults_of(checked), [kind])
+        for invalid_document, kind in cases:
+            with self.subTest(kind=kind, invalid_document=invalid_document):
+                self.assertEqual(self.faults_of(invalid_document), [kind])
 
-    def test_all_faults_are_named_at_once(self):
-        """A document with several faults names each of them."""
+    def test_reports_all_faults_at_once(self):
+        """All faults of a document are reported in one error."""
         faults = self.faults_of(document(rule(timeout_ms=0), rule("r-2", 443, "x")))
         self.assertEqual(len(faults), 3)
 
 
 class TestTable(unittest.TestCase):
-    def test_table_is_read_as_written(self):
-        """An entry instance sees the routes of the document."""
+    def test_decodes_encoded_table(self):
+        """A decoded table has the routes and the version of the document."""
         table = decode_table(encode_table(document(rule(), version=5)))
         route = table.routes[0xC6120001, 443]
         self.assertEqual((table.version, route.targets), (5, (Target("tab", 1),)))
 
-    def test_earlier_services_keep_their_open_flows(self):
-        """A route that moved on still forwards what its earlier services serve."""
+    def test_route_keeps_earlier_services(self):
+        """A route still allows open flows of the services that it had earlier."""
         first = encode_table(document(rule(service="tab")))
         second = encode_table(document(rule(service="archive"), version=2))
         keep_earlier_services(second, first)
@@ -119,8 +119,8 @@
         self.assertEqual(route.targets, (Target("new", 1),))
         self.assertEqual(route.services, {"tab", "archive", "new"})
 
-    def test_route_that_was_away_starts_anew(self):
-        """A route that was dropped in between has no earlier services."""
+    def test_readded_route_has_no_earlier_services(self):
+        """A route that was removed in between has no earlier services."""
         first = encode_table(document(rule(service="tab")))
         without = encode_table(document(version=2))
         keep_earlier_services(without, first)
@@ -143,9 +143,9 @@
             max_size=6,
         )
     )
-    def test_services_of_a_route_are_all_that_it_had(self, versions):
-        """Whatever the tables before, in whatever order they name their services."""
-        had, before = {}, None
+    def test_services_of_route_accumulate(self, versions):
+        """A route has all earlier services, in whatever order tables list them."""
+        expected, before = {}, None
         for number, (services, routes) in enumerate(versions, 1):
             rules = [rule(f"r-{port}", port, to) for port, to in routes.items()]
             table = encode_table(
@@ -153,10 +153,12 @@
             )
             if before is not None:
                 keep_earlier_services(table, before)
-            had = {port: had.get(port, set()) | {to} for port, to in routes.items()}
-            found = {
+            expected = {
+                port: expected.get(port, set()) | {to} for port, to in routes.items()
+            }
+            decoded = {
                 port: set(route.services)
                 for (_, port), route in decode_table(table).routes.items()
             }
-            self.assertEqual(found, had)
+            self.assertEqual(decoded, expected)
             before = table
