--- a/src/agatethread/operations/__init__.py
+++ b/src/agatethread/operations/__init__.py
@@ -1,4 +1,4 @@
-"""Requests: admission, at most one dispatch where that matters, typed verdicts."""
+"""Request processing: admission, at-most-once dispatch and verdicts."""
 
 from agatethread.operations._asking import ClaimAsker
 from agatethread.operations._claims import ClaimKeeper
--- a/src/agatethread/operations/_asking.py
+++ b/src/agatethread/operations/_asking.py
@@ -1,4 +1,4 @@
-"""The owner's question to the standby, before each dispatch that must not repeat."""
+"""Claim requests of an owner to the standby, before each at-most-once dispatch."""
 
 import asyncio
 
@@ -8,18 +8,18 @@
 from agatethread.wire import Claim, ClaimReply, Peer, Reason
 
 MOVED_RETRY_S = 0.001
-_CLAIM_RESEND_S = 0.05
+_CLAIM_RESEND_INTERVAL_S = 0.05
 
 
 class ClaimAsker:
-    """Claims that this owner waits for.
+    """Requests claims from standbys and waits for the replies.
 
     Parameters
     ----------
     ports : Ports
-        The rest of the instance.
+        Access to the rest of the instance.
     timeout_s : float
-        Time a claim may take.
+        Longest time that a claim may take.
     counters : Counters
         Counts failed claims.
     """
@@ -28,34 +28,34 @@
         self._ports = ports
         self._timeout_s = timeout_s
         self._counters = counters
-        self._waiting: dict[tuple[bytes, int], asyncio.Future[bool]] = {}
+        self._pending_replies: dict[tuple[bytes, int], asyncio.Future[bool]] = {}
 
     async def ask(self, operation: Operation, endpoint: Endpoint) -> None:
-        """Ask for an operation's next attempt.
+        """Request the claim for an operation's next attempt.
 
         Parameters
         ----------
         operation : Operation
             The operation; its token names the standby.
         endpoint : Endpoint
-            Where the attempt goes.
+            Backend server of the attempt.
 
         Raises
         ------
         RefusedError
-            If the claim was denied or not granted in time.
+            If the claim is denied or not granted in time.
         """
         started_s = self._ports.now_s()
         key = (operation.operation_id, operation.attempt)
         reply = asyncio.get_running_loop().create_future()
-        self._waiting[key] = reply
+        self._pending_replies[key] = reply
         try:
             granted = await self._ask_standby(operation, endpoint, reply, started_s)
         finally:
-            del self._waiting[key]
+            del self._pending_replies[key]
 
-        # A grant that was read late may be of a claim that the standby has since
-        # forgotten, so it counts only within the time a claim may take.
+        # The standby may have deleted the claim of a grant that is read late, so the
+        # grant is valid only within the timeout.
         elapsed_s = self._ports.now_s() - started_s
         if not granted or elapsed_s > self._timeout_s:
             self._counters["claim_failed"] += 1
@@ -83,18 +83,18 @@
             )
             standby = operation.token.standby.address
             self._ports.send_peer(standby, Peer(claim=claim))
-            done, _ = await asyncio.wait([reply], timeout=_CLAIM_RESEND_S)
+            done, _ = await asyncio.wait([reply], timeout=_CLAIM_RESEND_INTERVAL_S)
             if done:
                 return reply.result()
 
     def on_reply(self, reply: ClaimReply) -> None:
-        """Take the standby's answer to a claim.
+        """Handle the standby's reply to a claim.
 
         Parameters
         ----------
         reply : ClaimReply
-            The answer.
+            The reply.
         """
-        waiting = self._waiting.get((reply.operation_id, reply.attempt))
-        if waiting is not None and not waiting.done():
-            waiting.set_result(reply.granted)
+        pending_reply = self._pending_replies.get((reply.operation_id, reply.attempt))
+        if pending_reply is not None and not pending_reply.done():
+            pending_reply.set_result(reply.granted)
--- a/src/agatethread/operations/_attempts.py
+++ b/src/agatethread/operations/_attempts.py
@@ -17,13 +17,14 @@
     seal_operation_label,
 )
 
-#: An idempotent attempt that takes this many usual service times is tried elsewhere.
-_PATIENCE_FACTOR = 8
-_LEAST_PATIENCE_S = 0.5
+#: An idempotent attempt times out after this fraction of the time to the deadline, so
+#: that it can be retried at another backend server.
+_IDEMPOTENT_TIMEOUT_DIVISOR = 8
+_MIN_IDEMPOTENT_TIMEOUT_S = 0.5
 
 
 class End(enum.Enum):
-    """How an attempt ended."""
+    """Kind of an attempt's end."""
 
     ANSWERED = enum.auto()
     SHED = enum.auto()
@@ -34,7 +35,7 @@
 
 @dataclass(frozen=True)
 class Outcome:
-    """The end of an attempt, with the backend server's reply if there was one."""
+    """End of an attempt, with the backend server's reply if there was one."""
 
     end: End
     reply: Envelope | None = None
@@ -42,26 +43,26 @@
 
 
 def settle(operation: Operation, outcome: Outcome) -> None:
-    """End the attempt that is under way, unless it has ended.
+    """Set the outcome of the current attempt, unless it has ended.
 
     Parameters
     ----------
     operation : Operation
         The operation.
     outcome : Outcome
-        How it ended.
+        The outcome.
     """
     if operation.outcome is not None and not operation.outcome.done():
         operation.outcome.set_result(outcome)
 
 
 class Attempts:
-    """Sends operations to backend servers, and waits for what becomes of them.
+    """Sends operations to backend servers and waits for their outcomes.
 
     Parameters
     ----------
     ports : Ports
-        The rest of the instance.
+        Access to the rest of the instance.
     sealer : Sealer
         Seals return labels.
     counters : Counters
@@ -75,33 +76,36 @@
         self._outbox = Outbox()
 
     async def run(self, operation: Operation, endpoint: Endpoint) -> Outcome:
-        """Dispatch an operation and wait for the end of the attempt.
+        """Dispatch an operation and return the outcome of the attempt.
 
         Parameters
         ----------
         operation : Operation
             The operation.
         endpoint : Endpoint
-            The backend server whose slot is held.
+            Backend server with a slot reserved for the operation.
 
         Returns
         -------
         Outcome
-            How it ended.
+            The outcome.
         """
         operation.endpoint = endpoint
         operation.outcome = asyncio.get_running_loop().create_future()
-        had_run = operation.may_have_run
+        may_have_run_before = operation.may_have_run
         operation.may_have_run = True
         self._dispatch(operation, endpoint)
         self._counters["dispatched"] += 1
         wait_s = operation.deadline_at_s - self._ports.now_s()
         if operation.idempotent:
-            wait_s = min(wait_s, max(_LEAST_PATIENCE_S, wait_s / _PATIENCE_FACTOR))
+            wait_s = min(
+                wait_s,
+                max(_MIN_IDEMPOTENT_TIMEOUT_S, wait_s / _IDEMPOTENT_TIMEOUT_DIVISOR),
+            )
         try:
             outcome = await asyncio.wait_for(operation.outcome, wait_s)
             if outcome.end is End.SHED:
-                operation.may_have_run = had_run
+                operation.may_have_run = may_have_run_before
             return outcome
         except TimeoutError:
             self.cancel(operation)
@@ -116,8 +120,8 @@
             operation.attempt,
         )
         remaining_s = operation.deadline_at_s - self._ports.now_s()
-        # Appended fields replace those of the caller's datagram (protocol buffers
-        # encoding: the last value of a field counts).
+        # Appended fields override those of the caller's datagram: protocol buffers
+        # decoders use the last value of a field.
         suffix = Envelope(
             return_label=seal_operation_label(self._sealer, label),
             incarnation=endpoint.incarnation,
@@ -131,7 +135,7 @@
         )
 
     def cancel(self, operation: Operation) -> None:
-        """Tell the backend server that nobody waits for an operation any more.
+        """Send the backend server a cancellation of an operation.
 
         Parameters
         ----------
@@ -158,14 +162,14 @@
         operation_id : bytes
             The operation.
         attempt : int
-            Of which attempt.
+            Number of the attempt.
         indices : iterable of int
-            Which ones.
+            Indices of the fragments.
         """
         self._outbox.resend((operation_id, attempt), indices)
 
     def done(self, operation: Operation) -> None:
-        """Forget the fragments of the present attempt.
+        """Delete the fragments of the current attempt.
 
         Parameters
         ----------
--- a/src/agatethread/operations/_claims.py
+++ b/src/agatethread/operations/_claims.py
@@ -1,8 +1,8 @@
-"""The standby's side of an operation: it grants claims and speaks for a dead owner.
+"""Standby's side of an operation: grants claims and answers for a failed owner.
 
-An operation names its owner and its standby for good. The owner may dispatch only what
-the standby has granted, so once the standby has refused an operation, or has seen it
-claimed, it can answer truthfully whatever became of the owner: frozen, cut off or dead.
+An operation's owner and standby never change. The owner dispatches only with a claim
+granted by the standby. A standby that has refused an operation, or has granted its
+claim, can therefore answer correctly if the owner hangs, fails or is unreachable.
 """
 
 import enum
@@ -30,8 +30,8 @@
 )
 
 _MOVED_RETRY_S = 0.001
-#: How long after its deadline an owner's verdict is waited for.
-_NOTE_GRACE_S = 5.0
+#: How long after an operation's deadline the standby waits for the owner's verdict.
+_VERDICT_NOTE_GRACE_S = 5.0
 
 
 class _State(enum.Enum):
@@ -57,17 +57,17 @@
     Parameters
     ----------
     ports : Ports
-        The rest of the instance.
+        Access to the rest of the instance.
     sealer : Sealer
         Opens tokens.
     endpoints : EndpointTable
-        Tells whether a backend server is gone.
+        Shows whether a backend server is gone.
     counters : Counters
-        Counts what was decided.
+        Counts claims and verdicts.
     limit_count : int
-        Most claims kept.
+        Maximum number of claims.
     retention_s : float
-        How long a decided one is kept.
+        Time for which a decided claim is kept.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         sender : MemberRef
             The owner's run.
         claim : Claim
-            What it asks for.
+            The claim.
         """
         granted = self._grant(sender, claim)
         self._counters["claim_granted" if granted else "claim_denied"] += 1
@@ -146,7 +146,7 @@
             return None
 
     def on_verdict_note(self, note: VerdictNote) -> None:
-        """Keep the verdict that a live owner gave.
+        """Store the verdict of a live owner.
 
         Parameters
         ----------
@@ -158,7 +158,7 @@
             self._decide(note.operation_id, record, note.datagram)
 
     def on_copy(self, envelope: Envelope, token: Token, caller: bytes) -> None:
-        """Answer a copy of an operation whose owner the sender believes dead.
+        """Answer a copy of an operation whose owner the sender considers dead.
 
         Parameters
         ----------
@@ -184,18 +184,20 @@
         self._refuse(envelope, token, caller)
 
     def _refuse(self, envelope: Envelope, token: Token, caller: bytes) -> None:
-        fresh = self._ports.fresh_token(envelope.service)
+        fresh_token = self._ports.fresh_token(envelope.service)
         if self._records.is_full:
-            verdict = unknown(envelope.operation_id, Reason.TABLE_FULL, fresh)
+            verdict = unknown(envelope.operation_id, Reason.TABLE_FULL, fresh_token)
             self._ports.send_caller(caller, verdict)
             return
 
-        # Recorded before it is said: from here on every claim of it is denied.
+        # Record the refusal before sending it, so that later claims are denied.
         record = _ClaimRecord(
             token, envelope.service, caller, b"", 0, 0.0, _State.CLAIMED
         )
         self._records.add(envelope.operation_id, record)
-        verdict = refused(envelope.operation_id, Reason.MOVED, _MOVED_RETRY_S, fresh)
+        verdict = refused(
+            envelope.operation_id, Reason.MOVED, _MOVED_RETRY_S, fresh_token
+        )
         self._decide(envelope.operation_id, record, verdict)
         self._counters["standby_refused"] += 1
         self._ports.send_caller(caller, verdict)
@@ -203,7 +205,7 @@
     def on_reply(
         self, operation_id: bytes, label: OperationLabel, envelope: Envelope
     ) -> None:
-        """Take a backend server's reply to an operation whose owner is dead.
+        """Handle a backend server's reply to an operation whose owner is dead.
 
         Parameters
         ----------
@@ -225,39 +227,39 @@
                 kind=Kind.ANSWER, operation_id=operation_id, payload=envelope.payload
             ).SerializeToString()
         else:
-            # Shed: it did not run, and from here on no later attempt is granted.
-            fresh = self._ports.fresh_token(record.service)
-            verdict = refused(operation_id, Reason.MOVED, _MOVED_RETRY_S, fresh)
+            # Shed: the operation did not run, and later attempts will be denied.
+            fresh_token = self._ports.fresh_token(record.service)
+            verdict = refused(operation_id, Reason.MOVED, _MOVED_RETRY_S, fresh_token)
         self._decide(operation_id, record, verdict)
         self._counters["standby_completed"] += 1
         self._ports.send_caller(record.caller, verdict)
 
     def sweep(self) -> None:
-        """Say "unknown" for dead owners' operations that can't be answered any more."""
+        """Send "unknown" for operations of dead owners that can't be answered."""
         now_s = self._ports.now_s()
         for operation_id, record in list(self._open.items()):
-            late = now_s > record.deadline_at_s
+            is_late = now_s > record.deadline_at_s
             if self._ports.is_alive(record.token.owner):
-                if now_s > record.deadline_at_s + _NOTE_GRACE_S:
-                    self._close_late(operation_id, record)
+                if now_s > record.deadline_at_s + _VERDICT_NOTE_GRACE_S:
+                    self._close_without_note(operation_id, record)
                 continue
-            if late or self._is_gone(record.endpoint):
-                self._give_up(operation_id, record)
+            if is_late or self._is_gone(record.endpoint):
+                self._send_unknown(operation_id, record)
         self._records.expire(now_s)
 
-    def _close_late(self, operation_id: bytes, record: _ClaimRecord) -> None:
-        # The owner has told the caller by its deadline; only its note was lost.
-        fresh = self._ports.fresh_token(record.service)
-        verdict = unknown(operation_id, Reason.DEADLINE, fresh)
+    def _close_without_note(self, operation_id: bytes, record: _ClaimRecord) -> None:
+        # The owner has answered the caller by the deadline; its verdict note was lost.
+        fresh_token = self._ports.fresh_token(record.service)
+        verdict = unknown(operation_id, Reason.DEADLINE, fresh_token)
         self._decide(operation_id, record, verdict)
 
     def _is_gone(self, address: bytes) -> bool:
         endpoint = self._endpoints.by_address.get(address)
         return endpoint is not None and endpoint.gone
 
-    def _give_up(self, operation_id: bytes, record: _ClaimRecord) -> None:
-        fresh = self._ports.fresh_token(record.service)
-        verdict = unknown(operation_id, Reason.HOME_LOST, fresh)
+    def _send_unknown(self, operation_id: bytes, record: _ClaimRecord) -> None:
+        fresh_token = self._ports.fresh_token(record.service)
+        verdict = unknown(operation_id, Reason.HOME_LOST, fresh_token)
         self._decide(operation_id, record, verdict)
         self._counters["standby_unknown"] += 1
         self._ports.send_caller(record.caller, verdict)
--- a/src/agatethread/operations/_large.py
+++ b/src/agatethread/operations/_large.py
@@ -1,54 +1,56 @@
-"""Verdicts of several datagrams, kept a short while and within a bound."""
+"""Bounded short-term store of verdicts that need several datagrams."""
 
 from collections import deque
 
 from agatethread.operations._records import Operation, Ports, unknown
 from agatethread.wire import MAX_DATAGRAM_BYTES, Reason
 
-#: How long one is kept for copies.
-_KEPT_S = 10.0
+#: How long a large verdict is kept for copies of its operation.
+_RETENTION_S = 10.0
 
 
 class LargeVerdicts:
-    """Operations whose verdict needs several datagrams.
+    """Operations with a verdict that needs several datagrams.
 
     Parameters
     ----------
     ports : Ports
-        The rest of the instance.
+        Access to the rest of the instance.
     limit_bytes : int
-        Memory for all of them.
+        Maximum total size of the verdicts.
     """
 
     def __init__(self, ports: Ports, limit_bytes: int):
         self._ports = ports
         self._limit_bytes = limit_bytes
-        self._kept: deque[tuple[float, Operation]] = deque()
+        self._stored: deque[tuple[float, Operation]] = deque()
         self._size_bytes = 0
 
-    def keep(self, operation: Operation) -> None:
-        """Keep a verdict, if it is large.
+    def store(self, operation: Operation) -> None:
+        """Store the verdict of an operation if it is large.
 
         Parameters
         ----------
         operation : Operation
-            With its verdict.
+            An operation with a verdict.
         """
         size_bytes = len(operation.verdict)
         if size_bytes <= MAX_DATAGRAM_BYTES:
             return
-        self._kept.append((self._ports.now_s(), operation))
+        self._stored.append((self._ports.now_s(), operation))
         self._size_bytes += size_bytes
-        self.drop()
-
-    def drop(self) -> None:
-        """Replace what was kept long enough, or is over the bound, by "unknown"."""
-        oldest_s = self._ports.now_s() - _KEPT_S
-        while self._kept:
-            kept_s, operation = self._kept[0]
-            if kept_s > oldest_s and self._size_bytes <= self._limit_bytes:
+        self.expire()
+
+    def expire(self) -> None:
+        """Replace verdicts that are too old or exceed the size limit by "unknown"."""
+        oldest_s = self._ports.now_s() - _RETENTION_S
+        while self._stored:
+            stored_s, operation = self._stored[0]
+            if stored_s > oldest_s and self._size_bytes <= self._limit_bytes:
                 return
-            self._kept.popleft()
+            self._stored.popleft()
             self._size_bytes -= len(operation.verdict)
-            fresh = self._ports.fresh_token(operation.service)
-            operation.verdict = unknown(operation.operation_id, Reason.TOO_LARGE, fresh)
+            fresh_token = self._ports.fresh_token(operation.service)
+            operation.verdict = unknown(
+                operation.operation_id, Reason.TOO_LARGE, fresh_token
+            )
--- a/src/agatethread/operations/_owner.py
+++ b/src/agatethread/operations/_owner.py
@@ -1,4 +1,4 @@
-"""The owner's side of an operation: one task takes it from admission to its verdict."""
+"""Owner's side of an operation: a task handles it from admission to its verdict."""
 
 from collections.abc import Callable, Coroutine, Iterable
 from typing import Any
@@ -32,28 +32,28 @@
     VerdictNote,
 )
 
-_TOO_LARGE_RETRY_S = 1.0
+_REFUSE_RETRY_S = 1.0
 
 
 class OperationOwner:
-    """Operations that this run of this instance decides.
+    """Operations that this run of this instance owns.
 
     Parameters
     ----------
     ports : Ports
-        The rest of the instance.
+        Access to the rest of the instance.
     sealer : Sealer
         Seals return labels.
     queue_of : callable
-        Returns a service's queue, or None without a document.
+        Returns a service's queue, or None if it has no document.
     is_dispatcher : callable
-        Whether this instance now dispatches for a service.
+        Returns whether this instance dispatches for a service at present.
     start_task : callable
         Runs a coroutine as a task of the instance.
     counters : Counters
         Counts verdicts.
     limit_count, retention_s, claim_timeout_s, large_limit_bytes
-        As in the settings; the last bounds the large verdicts kept for copies.
+        As in the settings; the last limits the large verdicts kept for copies.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         self._table: RetainedTable[Operation] = RetainedTable(limit_count, retention_s)
         self._running: set[Operation] = set()
         self._attempts = Attempts(ports, sealer, counters)
-        self._large = LargeVerdicts(ports, large_limit_bytes)
+        self._large_verdicts = LargeVerdicts(ports, large_limit_bytes)
 
     def __len__(self) -> int:
         return len(self._table)
@@ -91,7 +91,7 @@
     def on_request(
         self, envelope: Envelope, token: Token, caller: bytes, deadline_s: float
     ) -> None:
-        """Take a request or a copy of one.
+        """Handle a request or a copy of one.
 
         Parameters
         ----------
@@ -109,24 +109,24 @@
             self._on_copy(operation, caller)
             return
         if self._table.is_full:
-            self._say_full(envelope, caller)
+            self._send_table_full(envelope, caller)
             return
 
-        operation = self._make(envelope, token, caller, deadline_s)
+        operation = self._make_operation(envelope, token, caller, deadline_s)
         self._table.add(operation.operation_id, operation)
         self._running.add(operation)
         self._start_task(self._run(operation))
 
-    def _say_full(self, envelope: Envelope, caller: bytes) -> None:
-        # A refusal has to be remembered to stay true; without room for that the
-        # outcome is not known.
+    def _send_table_full(self, envelope: Envelope, caller: bytes) -> None:
+        # A refusal is valid only if it is recorded; with a full table the verdict is
+        # "unknown".
         self._counters["operation_table_full"] += 1
-        fresh = self._ports.fresh_token(envelope.service)
-        verdict = unknown(envelope.operation_id, Reason.TABLE_FULL, fresh)
+        fresh_token = self._ports.fresh_token(envelope.service)
+        verdict = unknown(envelope.operation_id, Reason.TABLE_FULL, fresh_token)
         self._ports.send_caller(caller, verdict)
 
     def knows(self, operation_id: bytes) -> bool:
-        """Tell whether an operation was taken before.
+        """Return whether an operation was received before.
 
         Parameters
         ----------
@@ -136,14 +136,14 @@
         Returns
         -------
         bool
-            Whether there is a record of it.
+            Whether the table has a record of it.
         """
         return self._table.find(operation_id) is not None
 
     def refuse(
         self, envelope: Envelope, token: Token, caller: bytes, reason: int
     ) -> None:
-        """Refuse an operation without trying, and remember that.
+        """Refuse an operation without an attempt, and record the refusal.
 
         Parameters
         ----------
@@ -157,14 +157,14 @@
             A `Reason`.
         """
         if self._table.is_full:
-            self._say_full(envelope, caller)
+            self._send_table_full(envelope, caller)
             return
-        operation = self._make(envelope, token, caller, 0.0)
+        operation = self._make_operation(envelope, token, caller, 0.0)
         self._table.add(operation.operation_id, operation)
-        refusal = RefusedError(reason, _TOO_LARGE_RETRY_S)
+        refusal = RefusedError(reason, _REFUSE_RETRY_S)
         self._finish(operation, self._refusal(operation, refusal))
 
-    def _make(
+    def _make_operation(
         self, envelope: Envelope, token: Token, caller: bytes, deadline_s: float
     ) -> Operation:
         deadline_at_s = self._ports.now_s() + deadline_s
@@ -191,10 +191,10 @@
         self._finish(operation, verdict)
 
     def _refusal(self, operation: Operation, error: RefusedError) -> bytes:
-        fresh = self._ports.fresh_token(operation.service)
+        token = self._ports.fresh_token(operation.service)
         if operation.may_have_run:
-            return unknown(operation.operation_id, error.reason, fresh)
-        return refused(operation.operation_id, error.reason, error.retry_after_s, fresh)
+            return unknown(operation.operation_id, error.reason, token)
+        return refused(operation.operation_id, error.reason, error.retry_after_s, token)
 
     def _finish(self, operation: Operation, verdict: bytes) -> None:
         operation.verdict = verdict
@@ -203,17 +203,17 @@
         self._running.discard(operation)
         self._table.finish(operation.operation_id, self._ports.now_s())
         self._ports.send_caller(operation.caller, verdict)
-        self._large.keep(operation)
+        self._large_verdicts.store(operation)
         if not operation.idempotent and operation.token.standby != NO_MEMBER:
-            self._note_verdict(operation)
+            self._send_verdict_note(operation)
 
-    def _note_verdict(self, operation: Operation) -> None:
+    def _send_verdict_note(self, operation: Operation) -> None:
         verdict = operation.verdict
         if len(verdict) > MAX_DATAGRAM_BYTES:
-            # The standby keeps no large answers; a copy that comes after the owner's
-            # death is told that the outcome is not known.
-            fresh = self._ports.fresh_token(operation.service)
-            verdict = unknown(operation.operation_id, Reason.HOME_LOST, fresh)
+            # The standby stores no large answers; it answers copies with "unknown" if
+            # the owner fails.
+            fresh_token = self._ports.fresh_token(operation.service)
+            verdict = unknown(operation.operation_id, Reason.HOME_LOST, fresh_token)
         note = VerdictNote(operation_id=operation.operation_id, datagram=verdict)
         standby = operation.token.standby.address
         self._ports.send_peer(standby, Peer(verdict_note=note))
@@ -226,14 +226,14 @@
         operation_id : bytes
             The operation.
         indices : iterable of int
-            Which ones.
+            Indices of the fragments.
         """
         operation = self._table.find(operation_id)
         if operation is None or operation.verdict is None:
             return
         datagrams = split_datagram(operation.verdict)
-        wanted = [datagrams[index] for index in indices if index < len(datagrams)]
-        for datagram in wanted:
+        requested = [datagrams[index] for index in indices if index < len(datagrams)]
+        for datagram in requested:
             self._ports.send_caller(operation.caller, datagram)
 
     def resend_request(
@@ -246,9 +246,9 @@
         operation_id : bytes
             The operation.
         attempt : int
-            Of which attempt.
+            Number of the attempt.
         indices : iterable of int
-            Which ones.
+            Indices of the fragments.
         """
         self._attempts.resend(operation_id, attempt, indices)
 
@@ -266,23 +266,23 @@
             endpoint = await queue.acquire(
                 operation.partner, operation.deadline_at_s, avoid
             )
-            outcome = await self._hold_slot(operation, queue, endpoint)
-            verdict = self._judge(operation, queue, endpoint, outcome)
+            outcome = await self._run_attempt(operation, queue, endpoint)
+            verdict = self._process_outcome(operation, queue, endpoint, outcome)
             if verdict is not None:
                 return verdict
             avoid = endpoint
 
-    async def _hold_slot(
+    async def _run_attempt(
         self, operation: Operation, queue: ServiceQueue, endpoint: Endpoint
     ) -> Outcome:
         started_s = self._ports.now_s()
         service_time_s = None
         try:
             operation.attempt += 1
-            self._check_startable(operation)
+            self._check_may_start(operation)
             if not operation.idempotent and operation.token.standby != NO_MEMBER:
                 await self.claims.ask(operation, endpoint)
-                self._check_startable(operation)
+                self._check_may_start(operation)
             outcome = await self._attempts.run(operation, endpoint)
             if outcome.end is End.ANSWERED:
                 service_time_s = self._ports.now_s() - started_s
@@ -291,8 +291,8 @@
             self._attempts.done(operation)
             queue.release(endpoint, service_time_s)
 
-    def _check_startable(self, operation: Operation) -> None:
-        # Read just before each step: the process may have been stopped for long.
+    def _check_may_start(self, operation: Operation) -> None:
+        # Checked just before each step, since the process may have been suspended.
         if operation.cancelled:
             raise RefusedError(Reason.CANCELLED, MOVED_RETRY_S)
         if self._ports.now_s() >= operation.deadline_at_s:
@@ -301,7 +301,7 @@
     def on_reply(
         self, operation_id: bytes, label: OperationLabel, envelope: Envelope
     ) -> None:
-        """Take a backend server's reply; late and crossed ones go nowhere.
+        """Handle a backend server's reply; replies to earlier attempts are dropped.
 
         Parameters
         ----------
@@ -335,7 +335,7 @@
         settle(operation, Outcome(End.CANCELLED))
 
     def on_endpoint_gone(self, endpoint: Endpoint) -> None:
-        """Settle what was in flight at a backend server that died.
+        """End the attempts in flight at a failed backend server.
 
         Parameters
         ----------
@@ -346,7 +346,7 @@
             if operation.endpoint is endpoint:
                 settle(operation, Outcome(End.LOST))
 
-    def _judge(
+    def _process_outcome(
         self,
         operation: Operation,
         queue: ServiceQueue,
@@ -375,8 +375,8 @@
             raise RefusedError(Reason.OVERLOADED, max(retry_after_s, 0.05))
 
         timed_out = outcome.end is End.TIMED_OUT
-        was_patient = timed_out and queue.is_patient(outcome.waited_s)
-        if outcome.end is End.LOST or was_patient:
+        had_ample_time = timed_out and queue.has_ample_time(outcome.waited_s)
+        if outcome.end is End.LOST or had_ample_time:
             endpoint.fail(now_s)
         in_time = now_s < operation.deadline_at_s and not operation.cancelled
         if operation.idempotent and in_time and queue.spend_retry():
@@ -391,10 +391,10 @@
             End.TIMED_OUT: Reason.DEADLINE,
             End.CANCELLED: Reason.CANCELLED,
         }
-        fresh = self._ports.fresh_token(operation.service)
-        return unknown(operation.operation_id, reasons[end], fresh)
+        fresh_token = self._ports.fresh_token(operation.service)
+        return unknown(operation.operation_id, reasons[end], fresh_token)
 
     def expire(self) -> None:
-        """Drop verdicts whose retention is over."""
-        self._large.drop()
+        """Delete verdicts whose retention time has passed."""
+        self._large_verdicts.expire()
         self._table.expire(self._ports.now_s())
--- a/src/agatethread/operations/_queue.py
+++ b/src/agatethread/operations/_queue.py
@@ -1,4 +1,4 @@
-"""Admission of one service's requests to its backend servers' slots."""
+"""Admission queue of a service's requests for slots of its backend servers."""
 
 import asyncio
 import math
@@ -12,46 +12,47 @@
 from agatethread.settings import ServiceDocument
 from agatethread.wire import Reason
 
-_FIRST_SERVICE_TIME_S = 0.02
-_SMOOTHING = 0.1
-_NO_ENDPOINT_RETRY_S = 1.0
-_MOST_RETRY_TOKENS = 20.0
+_INITIAL_SERVICE_TIME_S = 0.02
+_SERVICE_TIME_SMOOTHING = 0.1
+_NO_ENDPOINT_RETRY_AFTER_S = 1.0
+_MAX_RETRY_TOKENS = 20.0
 _WAIT_MARGIN = 1.25
-_SERVICE_MARGIN = 2.5
-#: A backend server is blamed for a timeout of so many usual service times.
-_BLAME_FACTOR = 5.0
-#: Pause between two looks at what can't be served any more, and more of it for each
-#: that waits, so that a long line is not looked through for most of the time.
-_LOOK_PAUSE_S = 0.05
-_LOOK_EACH_S = 0.000_1
+_SERVICE_TIME_MARGIN = 2.5
+#: A timeout counts as a failure of the backend server if the attempt had more than this
+#: multiple of the usual service time.
+_AMPLE_TIME_FACTOR = 5.0
+#: Interval of checks for requests that can't be served in time. It grows with the
+#: number of queued requests, to bound the share of time that checks take.
+_CHECK_INTERVAL_S = 0.05
+_CHECK_INTERVAL_PER_WAITING_S = 0.000_1
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _Waiter:
-    """A request that waits for its slot."""
+    """A request that waits for a slot."""
 
     partner: str
     granted: asyncio.Future[Endpoint]
 
 
 class ServiceQueue:
-    """Slots of one service, given out in turn to its partners.
+    """Queue for the slots of one service, shared fairly among its partners.
 
-    The load that this answers: more requests than slots, most of them one partner's, or
-    due at very different times. Within a partner's line what is due first goes first;
-    what can't be served in time any more is refused at once, with a time to come back
-    at which there is room for it.
+    Handles more requests than slots, most of them of one partner or due at very
+    different times. A partner's requests are served by earliest deadline; requests that
+    can't be served in time are refused at once, with a retry time at which there is
+    capacity for them.
 
     Parameters
     ----------
     document : callable
-        Returns the service's present document.
+        Returns the service's current document.
     endpoints : callable
         Returns the service's backend servers.
     now_s : callable
         Monotonic clock.
     draw : callable, optional
-        Random numbers from 0 to 1.
+        Returns random numbers from 0 to 1.
     """
 
     def __init__(
@@ -67,11 +68,11 @@
         self._draw = draw
         self._turns: FairQueue[_Waiter] = FairQueue()
         self._retry_schedule = RetrySchedule()
-        self._look_at_s = -math.inf
-        #: Slots when there were any last, for the return after an outage.
+        self._next_check_s = -math.inf
+        #: Latest number of slots above zero, for retry times during an outage.
         self._usual_slot_count = 1
-        self._service_time_s = _FIRST_SERVICE_TIME_S
-        self._retry_tokens = _MOST_RETRY_TOKENS
+        self._service_time_s = _INITIAL_SERVICE_TIME_S
+        self._retry_tokens = _MAX_RETRY_TOKENS
 
     @property
     def waiting(self) -> int:
@@ -81,36 +82,36 @@
     async def acquire(
         self, partner: str, deadline_at_s: float, avoid: Endpoint | None
     ) -> Endpoint:
-        """Wait for a slot, as long as the deadline can still be met.
+        """Wait for a slot while the deadline can be met, and return its backend server.
 
         Parameters
         ----------
         partner : str
-            Whose request it is; partners take turns.
+            Partner that sent the request; partners take turns.
         deadline_at_s : float
-            When the answer is due.
+            Time at which the answer is due.
         avoid : Endpoint or None
             Backend server that has just failed this request.
 
         Returns
         -------
         Endpoint
-            The backend server whose slot is now taken.
+            The backend server with the slot reserved.
 
         Raises
         ------
         RefusedError
-            If it can't be served in time.
+            If the request can't be served in time.
         """
         if not self.waiting:
-            endpoint = self._take_slot(avoid)
+            endpoint = self._reserve_slot(avoid)
             if endpoint is not None:
                 return endpoint
 
         self._check_admissible(partner, deadline_at_s)
         return await self._wait(partner, deadline_at_s)
 
-    def _take_slot(self, avoid: Endpoint | None) -> Endpoint | None:
+    def _reserve_slot(self, avoid: Endpoint | None) -> Endpoint | None:
         now_s = self._now_s()
         ramp_s = self._document().ramp_s
         endpoint = choose_for_request(self._endpoints(), now_s, ramp_s, avoid)
@@ -127,26 +128,26 @@
         return count
 
     def expected_wait_s(self) -> float:
-        """Estimate how long a request that comes now would wait for its slot.
+        """Return the expected wait of a new request for a slot.
 
         Returns
         -------
         float
-            Seconds; infinity when there is no slot at all.
+            Seconds; infinity if there are no slots.
         """
         return self._wait_behind_s(self.waiting)
 
     def _wait_behind_s(self, ahead_count: int) -> float:
-        slots = self._slot_count()
-        if not slots:
+        slot_count = self._slot_count()
+        if not slot_count:
             return math.inf
-        return (ahead_count + 1) * self._service_time_s / slots
+        return (ahead_count + 1) * self._service_time_s / slot_count
 
     @property
     def _time_to_serve_s(self) -> float:
-        # A start that leaves only the usual time would miss half of its deadlines,
-        # and what misses its deadline has used its slot for nothing.
-        return _SERVICE_MARGIN * self._service_time_s
+        # Leaves a margin over the usual service time, since a request that misses its
+        # deadline has wasted a slot.
+        return _SERVICE_TIME_MARGIN * self._service_time_s
 
     def _check_admissible(self, partner: str, deadline_at_s: float) -> None:
         wait_s = self._wait_behind_s(self._turns.count_ahead(partner, deadline_at_s))
@@ -160,17 +161,17 @@
             self._make_room(partner)
 
     def _make_room(self, partner: str) -> None:
-        """Refuse the last of whoever fills the queue, or else the one that comes."""
-        displaced = self._turns.evict_last_of_longest(partner)
-        if displaced is None:
+        """Refuse the last request of the longest line, or else the new request."""
+        evicted = self._turns.evict_last_of_longest(partner)
+        if evicted is None:
             raise self._refusal(Reason.OVERLOADED, partner)
-        self._refuse(displaced, Reason.OVERLOADED)
+        self._refuse(evicted, Reason.OVERLOADED)
 
     def _refusal(self, reason: int, partner: str) -> RefusedError:
-        """Make a refusal that names the time at which there is room."""
+        """Return a refusal with a retry time at which there is capacity."""
         wait_s = self._wait_behind_s(self._turns.count_ahead(partner, math.inf))
         if wait_s == math.inf:
-            wait_s = _NO_ENDPOINT_RETRY_S
+            wait_s = _NO_ENDPOINT_RETRY_AFTER_S
         turn_s = self._service_time_s / self._usual_slot_count
         booked_s = self._retry_schedule.book(partner, wait_s, turn_s, self._now_s())
         urgency = self._document().urgency
@@ -195,31 +196,31 @@
             self._turns.discard(waiter)
 
     def release(self, endpoint: Endpoint, service_time_s: float | None) -> None:
-        """Give a slot back.
+        """Release a slot.
 
         Parameters
         ----------
         endpoint : Endpoint
-            Its backend server.
+            Backend server of the slot.
         service_time_s : float or None
-            How long the request took, if it was answered.
+            Time that the request took, if it was answered.
         """
         endpoint.in_flight -= 1
         if service_time_s is not None:
-            change_s = service_time_s - self._service_time_s
-            self._service_time_s += _SMOOTHING * change_s
+            difference_s = service_time_s - self._service_time_s
+            self._service_time_s += _SERVICE_TIME_SMOOTHING * difference_s
         self.pump()
 
     def pump(self) -> None:
-        """Give free slots to those who wait, and refuse those who wait in vain."""
+        """Grant free slots to queued requests; refuse those that can't be in time."""
         while self.waiting:
-            endpoint = self._take_slot(None)
+            endpoint = self._reserve_slot(None)
             if endpoint is None:
                 break
             if not self._grant_next(endpoint):
                 endpoint.in_flight -= 1
                 break
-        self._refuse_hopeless()
+        self._refuse_unservable()
 
     def _grant_next(self, endpoint: Endpoint) -> bool:
         while (waiter := self._turns.pop()) is not None:
@@ -228,35 +229,37 @@
                 return True
         return False
 
-    def _refuse_hopeless(self) -> None:
-        now_s, slots = self._now_s(), self._slot_count()
-        if not self.waiting or not slots or now_s < self._look_at_s:
+    def _refuse_unservable(self) -> None:
+        now_s, slot_count = self._now_s(), self._slot_count()
+        if not self.waiting or not slot_count or now_s < self._next_check_s:
             return
-        self._look_at_s = now_s + _LOOK_PAUSE_S + _LOOK_EACH_S * self.waiting
-        # A wait turns out shorter about as often as longer: the margin of admission is
-        # given here the other way.
-        turn_s = self._service_time_s / slots / _WAIT_MARGIN
+        self._next_check_s = (
+            now_s + _CHECK_INTERVAL_S + _CHECK_INTERVAL_PER_WAITING_S * self.waiting
+        )
+        # Applies the admission margin in the opposite direction: a queued request is
+        # refused only if even a shorter wait than expected is too long.
+        turn_s = self._service_time_s / slot_count / _WAIT_MARGIN
         first_s = now_s + turn_s + self._time_to_serve_s
         for waiter in self._turns.pop_unservable(first_s, turn_s):
             self._refuse(waiter, Reason.DEADLINE)
 
-    def is_patient(self, waited_s: float) -> bool:
-        """Tell whether an attempt that timed out had ample time.
+    def has_ample_time(self, waited_s: float) -> bool:
+        """Return whether an attempt that timed out had ample time.
 
         Parameters
         ----------
         waited_s : float
-            How long it was given.
+            Timeout of the attempt.
 
         Returns
         -------
         bool
-            False if a healthy backend server might not have made it either.
+            False if a healthy backend server might have timed out as well.
         """
-        return waited_s > _BLAME_FACTOR * self._service_time_s
+        return waited_s > _AMPLE_TIME_FACTOR * self._service_time_s
 
     def refuse_all(self, reason: int) -> None:
-        """Refuse everything that waits.
+        """Refuse all queued requests.
 
         Parameters
         ----------
@@ -269,16 +272,16 @@
 
     def earn_retry(self) -> None:
         """Add one request's share to the retry budget."""
-        share = self._document().retry_ratio
-        self._retry_tokens = min(_MOST_RETRY_TOKENS, self._retry_tokens + share)
+        earned_tokens = self._document().retry_ratio
+        self._retry_tokens = min(_MAX_RETRY_TOKENS, self._retry_tokens + earned_tokens)
 
     def spend_retry(self) -> bool:
-        """Take one retry from the budget.
+        """Take one retry from the budget and return whether it had one.
 
         Returns
         -------
         bool
-            Whether there was one.
+            False if the budget is used up.
         """
         if self._retry_tokens < 1:
             return False
--- a/src/agatethread/operations/_records.py
+++ b/src/agatethread/operations/_records.py
@@ -1,4 +1,4 @@
-"""What is remembered of an operation, and the verdicts it may end with."""
+"""Records of operations, and the verdicts that they may end with."""
 
 import asyncio
 from collections import deque
@@ -30,7 +30,7 @@
     reason : int
         A `Reason`.
     retry_after_s : float
-        When the caller should come back.
+        Time after which the caller should retry.
     """
 
     def __init__(self, reason: int, retry_after_s: float):
@@ -41,16 +41,16 @@
 
 @dataclass(frozen=True)
 class Ports:
-    """How operations reach the rest of the instance.
+    """Callables by which operations use the rest of the instance.
 
     Attributes
     ----------
     now_s : callable
         Monotonic clock.
     me : callable
-        Reference to this run of this instance.
+        Returns the reference to this run of this instance.
     is_alive : callable
-        Whether a run of another instance is not known to have ended.
+        Returns False if a run of another instance is known to have ended.
     send_peer : callable
         Sends a message to an instance's packed inner address.
     send_backend : callable
@@ -58,7 +58,7 @@
     send_caller : callable
         Sends a datagram to a caller's packed address.
     fresh_token : callable
-        Seals a token for a service under the present ranking.
+        Returns a sealed token for a service by the current ranking of instances.
     """
 
     now_s: Callable[[], float]
@@ -88,38 +88,38 @@
     outcome: asyncio.Future | None = None
     verdict: bytes | None = None
     cancelled: bool = False
-    #: Whether an attempt was sent that did not come back as shed.
+    #: Whether an attempt was sent that was not shed.
     may_have_run: bool = False
     waiter: asyncio.Future | None = field(default=None)
 
 
 class RetainedTable(Generic[_Record]):
-    """Records by operation id, dropped some time after they are finished.
+    """Records by operation id, deleted some time after they are finished.
 
     Parameters
     ----------
     limit_count : int
-        Most records kept.
+        Maximum number of records.
     retention_s : float
-        How long a finished record stays for late copies.
+        Time for which a finished record is kept for late copies.
     """
 
     def __init__(self, limit_count: int, retention_s: float):
         self._limit_count = limit_count
         self._retention_s = retention_s
         self._records: dict[bytes, _Record] = {}
-        self._finished: deque[tuple[float, bytes]] = deque()
+        self._expirations: deque[tuple[float, bytes]] = deque()
 
     def __len__(self) -> int:
         return len(self._records)
 
     @property
     def is_full(self) -> bool:
-        """Whether no further record can be kept."""
+        """Whether no further record can be added."""
         return len(self._records) >= self._limit_count
 
     def find(self, operation_id: bytes) -> _Record | None:
-        """Find a record.
+        """Return the record of an operation.
 
         Parameters
         ----------
@@ -129,12 +129,12 @@
         Returns
         -------
         object or None
-            Its record.
+            Its record; None if there is none.
         """
         return self._records.get(operation_id)
 
     def add(self, operation_id: bytes, record: _Record) -> None:
-        """Keep a record until it is finished and its retention is over.
+        """Add a record, which is kept until it is finished and its retention passes.
 
         Parameters
         ----------
@@ -146,34 +146,34 @@
         self._records[operation_id] = record
 
     def finish(self, operation_id: bytes, now_s: float) -> None:
-        """Start a record's retention.
+        """Start a record's retention time.
 
         Parameters
         ----------
         operation_id : bytes
             The operation.
         now_s : float
-            Present time.
+            Current time.
         """
-        self._finished.append((now_s + self._retention_s, operation_id))
+        self._expirations.append((now_s + self._retention_s, operation_id))
 
     def expire(self, now_s: float) -> None:
-        """Drop what was finished long ago.
+        """Delete finished records whose retention time has passed.
 
         Parameters
         ----------
         now_s : float
-            Present time.
+            Current time.
         """
-        while self._finished and self._finished[0][0] <= now_s:
-            _, operation_id = self._finished.popleft()
+        while self._expirations and self._expirations[0][0] <= now_s:
+            _, operation_id = self._expirations.popleft()
             self._records.pop(operation_id, None)
 
 
 def refused(
     operation_id: bytes, reason: int, retry_after_s: float, token: bytes
 ) -> bytes:
-    """Make the verdict that an operation did not run.
+    """Return the verdict that an operation did not run.
 
     Parameters
     ----------
@@ -182,9 +182,9 @@
     reason : int
         A `Reason`.
     retry_after_s : float
-        When to come back.
+        Time after which the caller should retry.
     token : bytes
-        Token for the next try.
+        Token for the retry.
 
     Returns
     -------
@@ -201,7 +201,7 @@
 
 
 def unknown(operation_id: bytes, reason: int, token: bytes) -> bytes:
-    """Make the verdict that nobody knows whether an operation ran.
+    """Return the verdict that it is unknown whether an operation ran.
 
     Parameters
     ----------
@@ -225,7 +225,7 @@
 def make_operation(
     envelope: Envelope, token: Token, caller: bytes, deadline_at_s: float
 ) -> Operation:
-    """Make the record of an operation from its request.
+    """Return the record of an operation from its request.
 
     Parameters
     ----------
@@ -236,12 +236,12 @@
     caller : bytes
         Packed address of the caller.
     deadline_at_s : float
-        When the caller gives up.
+        Time at which the caller gives up.
 
     Returns
     -------
     Operation
-        Not yet started.
+        The operation, not yet started.
     """
     return Operation(
         operation_id=envelope.operation_id,
--- a/tests/operations/test_machine.py
+++ b/tests/operations/test_machine.py
@@ -12,7 +12,7 @@
 
 
 class OperationsMachine(RuleBasedStateMachine):
-    """Requests among faults; the oracle is the list of runs at the backend servers."""
+    """Requests with injected faults, checked by the runs at the backend servers."""
 
     def __init__(self):
         super().__init__()
@@ -45,7 +45,7 @@
         self.runner.run(self._do(wait_s=wait_s))
 
     @invariant()
-    def promises_hold(self):
+    def guarantees_hold(self):
         assert not self.world.violations()
 
     def teardown(self):
@@ -62,8 +62,8 @@
 
 
 class TestFuzz(unittest.TestCase):
-    def test_no_promise_is_broken(self):
-        """Seeded rounds with every fault break no promise."""
+    def test_random_faults_violate_no_guarantee(self):
+        """Seeded rounds with all kinds of faults violate no guarantee."""
         for seed in range(10):
             result = run_round(seed)
             with self.subTest(seed=seed):
@@ -72,12 +72,16 @@
 
     def _violations(self, weakened):
         with WEAKENED[weakened]():
-            return [v for seed in range(12) for v in run_round(seed)["violations"]]
-
-    def test_oracle_sees_missing_claims(self):
-        """Without the standby's claim an operation runs twice."""
+            return [
+                violation
+                for seed in range(12)
+                for violation in run_round(seed)["violations"]
+            ]
+
+    def test_detects_missing_claims(self):
+        """The checks detect operations that run twice without claims."""
         self.assertTrue(self._violations("claims"))
 
-    def test_oracle_sees_missing_fence(self):
-        """A standby that grants what it has refused makes a refusal false."""
+    def test_detects_missing_fence(self):
+        """The checks detect a standby that grants claims of refused operations."""
         self.assertTrue(self._violations("fence"))
--- a/tests/operations/test_queue.py
+++ b/tests/operations/test_queue.py
@@ -20,15 +20,15 @@
 def make_queue(slots=1, **fields):
     loop = asyncio.get_running_loop()
     table = EndpointTable()
-    news = announcement(slots=slots, lease_ms=600_000)
-    table.hear(address(1), news, loop.time())
+    announced = announcement(slots=slots, lease_ms=600_000)
+    table.hear(address(1), announced, loop.time())
     document = ServiceDocument("tab", 1, **fields)
     return ServiceQueue(lambda: document, lambda: table.of_service("tab"), loop.time)
 
 
 class TestGoodput(unittest.TestCase):
-    def answered(self, rate, seconds=6.0):
-        """Answers a second at an offered rate; the world's capacity is about 228."""
+    def measure_goodput(self, rate, seconds=6.0):
+        """Return the answers a second at an offered rate (capacity: about 228)."""
 
         async def main():
             world = World(seed=5)
@@ -45,26 +45,26 @@
         return run(main)
 
     def test_overload_does_not_lower_goodput(self):
-        """At twice the capacity as much is answered as at its best below it."""
-        best = max(self.answered(rate) for rate in (180, 205))
+        """At twice the capacity goodput is close to the best below the capacity."""
+        best = max(self.measure_goodput(rate) for rate in (180, 205))
         self.assertGreater(best, 170)
-        self.assertGreaterEqual(self.answered(450), 0.95 * best)
+        self.assertGreaterEqual(self.measure_goodput(450), 0.95 * best)
 
 
 class TestServiceQueue(unittest.TestCase):
     def test_partners_take_turns(self):
-        """One partner's long queue does not hold up another's first request."""
+        """A partner's long queue does not delay the first request of another."""
 
         async def main():
             queue = make_queue()
-            soon = asyncio.get_running_loop().time() + 60
-            endpoint = await queue.acquire("big", soon, None)
+            deadline_s = asyncio.get_running_loop().time() + 60
+            endpoint = await queue.acquire("big", deadline_s, None)
             order = []
 
             async def wait(partner):
-                got = await queue.acquire(partner, soon, None)
+                granted_endpoint = await queue.acquire(partner, deadline_s, None)
                 order.append(partner)
-                queue.release(got, 0.01)
+                queue.release(granted_endpoint, 0.01)
 
             tasks = [asyncio.ensure_future(wait("big")) for _ in range(20)]
             await asyncio.sleep(0.01)
@@ -75,10 +75,17 @@
             return order
 
         order = run(main)
-        self.assertLess(max(n for n, who in enumerate(order) if who == "small"), 7)
-
-    def test_what_cannot_be_in_time_is_refused_at_once(self):
-        """A request that would miss its deadline is refused, with a time."""
+        self.assertLess(
+            max(
+                position
+                for position, waiting_partner in enumerate(order)
+                if waiting_partner == "small"
+            ),
+            7,
+        )
+
+    def test_refuses_request_that_would_miss_deadline(self):
+        """A request that would miss its deadline is refused with a retry time."""
 
         async def main():
             queue = make_queue()
@@ -95,14 +102,15 @@
         self.assertGreater(error.retry_after_s, 0)
 
     def test_queue_is_bounded(self):
-        """Past its limit the queue refuses as overloaded."""
+        """A full queue refuses requests as overloaded."""
 
         async def main():
             queue = make_queue(queue_limit_count=2)
-            soon = asyncio.get_running_loop().time() + 60
-            await queue.acquire("p", soon, None)
+            deadline_s = asyncio.get_running_loop().time() + 60
+            await queue.acquire("p", deadline_s, None)
             tasks = [
-                asyncio.ensure_future(queue.acquire("p", soon, None)) for _ in range(3)
+                asyncio.ensure_future(queue.acquire("p", deadline_s, None))
+                for _ in range(3)
             ]
             done, _ = await asyncio.wait(tasks, timeout=0.1)
             (refused,) = done
@@ -112,34 +120,34 @@
 
         self.assertEqual(run(main), Reason.OVERLOADED)
 
-    def test_full_queue_makes_room_for_another_partner(self):
-        """Who fills the queue loses its last due, not the partner that comes."""
+    def test_full_queue_evicts_request_of_longest_line(self):
+        """A full queue evicts the last due request of the partner that fills it."""
 
         async def main():
             queue = make_queue(queue_limit_count=6)
-            soon = asyncio.get_running_loop().time() + 60
-            await queue.acquire("big", soon, None)
+            deadline_s = asyncio.get_running_loop().time() + 60
+            await queue.acquire("big", deadline_s, None)
             big = [
-                asyncio.ensure_future(queue.acquire("big", soon + nth, None))
-                for nth in range(6)
+                asyncio.ensure_future(queue.acquire("big", deadline_s + index, None))
+                for index in range(6)
             ]
             await asyncio.sleep(0.01)
-            small = asyncio.ensure_future(queue.acquire("small", soon, None))
+            small = asyncio.ensure_future(queue.acquire("small", deadline_s, None))
             await asyncio.sleep(0.01)
             refused = [task.done() for task in big]
-            waits = not small.done()
+            is_waiting = not small.done()
             reason = big[5].exception().reason
             for task in [*big, small]:
                 task.cancel()
-            return refused, waits, reason
+            return refused, is_waiting, reason
 
-        refused, waits, reason = run(main)
+        refused, is_waiting, reason = run(main)
         self.assertEqual(refused, [False] * 5 + [True])
-        self.assertTrue(waits)
+        self.assertTrue(is_waiting)
         self.assertEqual(reason, Reason.OVERLOADED)
 
-    def test_long_line_of_another_is_no_reason_to_refuse(self):
-        """What has its turn in time is taken, however long others' lines are."""
+    def test_long_line_of_another_partner_refuses_no_request(self):
+        """A request that gets its turn in time is queued despite others' long lines."""
 
         async def main():
             queue = make_queue()
@@ -159,25 +167,25 @@
 
         self.assertFalse(run(main))
 
-    def test_refusals_of_one_do_not_put_off_another(self):
-        """Many refused of one partner, and another's first comes back among them."""
+    def test_refusals_of_one_partner_do_not_delay_another(self):
+        """A partner's first retry time is not after all those of another partner."""
 
         async def main():
             queue = make_queue(slots=0)
-            soon = asyncio.get_running_loop().time() + 60
-            told_s = []
+            deadline_s = asyncio.get_running_loop().time() + 60
+            retry_after_s = []
             for partner in ["big"] * 400 + ["small"]:
                 with self.assertRaises(RefusedError) as caught:
-                    await queue.acquire(partner, soon, None)
-                told_s.append(caught.exception.retry_after_s)
-            return told_s
+                    await queue.acquire(partner, deadline_s, None)
+                retry_after_s.append(caught.exception.retry_after_s)
+            return retry_after_s
 
         *big, small = run(main)
         self.assertGreater(max(big), 8.5)
         self.assertLess(small, 1.1)
 
-    def test_first_due_goes_first_within_a_partner(self):
-        """The order of a partner's requests is that of their deadlines."""
+    def test_partner_is_served_by_earliest_deadline(self):
+        """A partner's requests are served in the order of their deadlines."""
 
         async def main():
             queue = make_queue()
@@ -186,12 +194,12 @@
             order = []
 
             async def wait(due_s):
-                got = await queue.acquire("p", now_s + due_s, None)
+                granted_endpoint = await queue.acquire("p", now_s + due_s, None)
                 order.append(due_s)
-                queue.release(got, 0.01)
+                queue.release(granted_endpoint, 0.01)
 
-            dues_s = [9, 3, 7, 1, 8, 2]
-            tasks = [asyncio.ensure_future(wait(due_s)) for due_s in dues_s]
+            deadlines_s = [9, 3, 7, 1, 8, 2]
+            tasks = [asyncio.ensure_future(wait(due_s)) for due_s in deadlines_s]
             await asyncio.sleep(0.01)
             queue.release(endpoint, 0.01)
             await asyncio.gather(*tasks)
@@ -199,8 +207,8 @@
 
         self.assertEqual(run(main), [1, 2, 3, 7, 8, 9])
 
-    def test_what_waits_in_vain_is_refused_at_once(self):
-        """Once all takes longer, who can't be in time need not wait for its end."""
+    def test_refuses_queued_requests_once_service_slows(self):
+        """Queued requests are refused early once they can't meet their deadline."""
 
         async def main():
             queue = make_queue()
@@ -210,12 +218,12 @@
 
             async def wait():
                 try:
-                    await queue.acquire("p", began_s + 2.0, None)
+                    await queue.acquire("p", started_s + 2.0, None)
                 except RefusedError as error:
-                    refused_s.append(loop.time() - began_s)
+                    refused_s.append(loop.time() - started_s)
                     self.assertGreater(error.retry_after_s, 0)
 
-            began_s = loop.time()
+            started_s = loop.time()
             tasks = [asyncio.ensure_future(wait()) for _ in range(50)]
             for _ in range(20):
                 await asyncio.sleep(0.01)
@@ -230,14 +238,14 @@
         self.assertGreater(len(early), 30)
         self.assertLess(len(early), 50)
 
-    def test_cancelled_waiter_leaves_its_place(self):
-        """A waiter that gave up neither holds a slot nor a place."""
+    def test_cancelled_waiter_is_removed(self):
+        """A cancelled waiter occupies neither a slot nor a place in the queue."""
 
         async def main():
             queue = make_queue()
-            soon = asyncio.get_running_loop().time() + 60
-            endpoint = await queue.acquire("p", soon, None)
-            waiter = asyncio.ensure_future(queue.acquire("p", soon, None))
+            deadline_s = asyncio.get_running_loop().time() + 60
+            endpoint = await queue.acquire("p", deadline_s, None)
+            waiter = asyncio.ensure_future(queue.acquire("p", deadline_s, None))
             await asyncio.sleep(0.01)
             waiter.cancel()
             await asyncio.sleep(0.01)
@@ -247,7 +255,7 @@
         self.assertEqual(run(main), (0, 0))
 
     def test_retries_have_a_budget(self):
-        """Retries are a share of requests once the savings are used."""
+        """Retries are limited to a share of requests once the budget is used up."""
 
         async def main():
             queue = make_queue(retry_ratio=0.25)
@@ -260,13 +268,13 @@
         self.assertEqual(run(main), 2)
 
 
-class TestReturn(unittest.TestCase):
-    """Callers that come back at the times told; four slots bear 200 a second."""
+class TestRetryTimes(unittest.TestCase):
+    """Callers that retry at the given times; four slots serve 200 a second."""
 
     CALLERS, WORK_S, SLOTS = 400, 0.02, 4
 
-    def play(self, urgency, longest_told_s=60.0):
-        """No slot for 1.5 s, in which all come; when they come back and are done."""
+    def simulate_outage(self, urgency, max_retry_after_s=60.0):
+        """Simulate an outage of 1.5 s; return the times of retries and completions."""
 
         async def main():
             draw = random.Random(1)
@@ -279,50 +287,53 @@
                 loop.time,
                 draw.random,
             )
-            news = announcement(slots=self.SLOTS, lease_ms=600_000)
-            table.hear(address(1), news, loop.time())
+            announced = announcement(slots=self.SLOTS, lease_ms=600_000)
+            table.hear(address(1), announced, loop.time())
             queue.expected_wait_s()
             (endpoint,) = table.of_service("tab")
             endpoint.drained = True
-            back_s, done_s = [], []
+            retried_s, done_s = [], []
 
             async def call():
                 await asyncio.sleep(draw.uniform(0, 1))
                 while True:
                     try:
-                        got = await queue.acquire("p", loop.time() + 0.5, None)
+                        granted_endpoint = await queue.acquire(
+                            "p", loop.time() + 0.5, None
+                        )
                         break
                     except RefusedError as error:
-                        await asyncio.sleep(min(error.retry_after_s, longest_told_s))
-                        back_s.append(loop.time())
+                        await asyncio.sleep(min(error.retry_after_s, max_retry_after_s))
+                        retried_s.append(loop.time())
                 await asyncio.sleep(self.WORK_S)
-                queue.release(got, self.WORK_S)
+                queue.release(granted_endpoint, self.WORK_S)
                 done_s.append(loop.time())
 
             tasks = [asyncio.ensure_future(call()) for _ in range(self.CALLERS)]
             await asyncio.sleep(1.5)
             endpoint.drained = False
-            begin_s = loop.time()
+            resumed_s = loop.time()
             await asyncio.gather(*tasks)
             return [
-                [at_s - begin_s for at_s in times_s] for times_s in (back_s, done_s)
+                [at_s - resumed_s for at_s in times_s]
+                for times_s in (retried_s, done_s)
             ]
 
         return run(main)
 
-    def test_return_is_spread_over_the_time_it_needs(self):
-        """No quarter second brings far more than it bears; all are done in time."""
+    def test_retries_are_spread_after_outage(self):
+        """Retries hardly exceed the capacity, and all callers are served in time."""
         needed_s = self.CALLERS * self.WORK_S / self.SLOTS
         for urgency in (0, 5, 9):
-            back_s, done_s = self.play(urgency)
-            coming = Counter(int(at_s // 0.25) for at_s in back_s if at_s >= 0)
+            retried_s, done_s = self.simulate_outage(urgency)
+            retry_count = Counter(int(at_s // 0.25) for at_s in retried_s if at_s >= 0)
             with self.subTest(urgency=urgency):
-                self.assertLess(max(coming.values()), 1.25 * 0.25 * 200)
+                self.assertLess(max(retry_count.values()), 1.25 * 0.25 * 200)
                 self.assertLess(max(done_s), 1.15 * needed_s)
 
-    def test_one_time_for_all_is_worse(self):
-        """Told a second each, they come at twice the rate and more than once."""
-        back_s, _ = self.play(5, longest_told_s=1.0)
-        coming = Counter(int(at_s // 0.25) for at_s in back_s if at_s >= 0)
-        self.assertGreater(max(coming.values()), 2 * 0.25 * 200)
-        self.assertGreater(len(back_s), 1.5 * self.CALLERS)
+    def test_common_retry_time_overloads(self):
+        """With a common retry time callers retry at twice the rate and repeatedly."""
+        retried_s, _ = self.simulate_outage(5, max_retry_after_s=1.0)
+        retry_count = Counter(int(at_s // 0.25) for at_s in retried_s if at_s >= 0)
+        self.assertGreater(max(retry_count.values()), 2 * 0.25 * 200)
+        self.assertGreater(len(retried_s), 1.5 * self.CALLERS)
