--- a/src/agatethread/balancing/_quality.py
+++ b/src/agatethread/balancing/_quality.py
@@ -20,8 +20,8 @@
     Quality,
 )
 
-#: Lower bound of the usual share of bad answers. A server below it is not doubted:
-#: moving its work would make callers of the other servers wait.
+#: Lower bound of the usual share of bad answers. Servers with fewer bad answers stay
+#: good: moving their work would make callers of the other servers wait.
 MIN_USUAL_SHARE = 0.2
 #: The better servers define the usual share: as many as can't be ejected.
 _BETTER_RUNS_SHARE = 2 / 3
--- a/tests/operations/test_queue.py
+++ b/tests/operations/test_queue.py
@@ -28,7 +28,7 @@
 
 class TestGoodput(unittest.TestCase):
     def measure_goodput(self, rate, seconds=6.0):
-        """Return the answers a second at an offered rate (capacity: about 228)."""
+        """Return the answers a second at an offered rate of requests."""
 
         async def main():
             world = World(seed=5)
