--- a/src/agatethread/datapath/__init__.py
+++ b/src/agatethread/datapath/__init__.py
@@ -1,4 +1,4 @@
-"""Forwards packets that carry a 32-bit label and keeps nothing to do so."""
+"""Stateless forwarding of packets by a 32-bit label."""
 
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._backends import BackendView
--- a/src/agatethread/datapath/_backend.py
+++ b/src/agatethread/datapath/_backend.py
@@ -1,4 +1,4 @@
-"""One run of a backend server, and what an entry instance has seen of it."""
+"""State of one run of a backend server at an entry instance."""
 
 from agatethread.datapath._packets import FlowKey
 from agatethread.observability import Event, make_logger
@@ -7,36 +7,32 @@
 from agatethread.wire import unpack_address
 from agatethread.wire.registry_pb2 import BackendRun
 
-#: Openings without an answer, in a row, after which a backend server is avoided: one
-#: may be a lost packet or a full queue.
+#: Consecutive unanswered openings; a single one may be a lost packet or a full queue.
 _FAILURES_BEFORE_PENALTY = 2
-#: The first pause is long enough for a few callers' second copies (200 ms apart) to
-#: show whether it answers.
-_FIRST_PENALTY_S = 0.5
-#: Time given to the one opening that tries an avoided server again: a caller sends its
-#: next copy after 200 ms.
-_TRIAL_S = 0.3
+#: Covers a few copies of an opening, which callers send 200 ms apart.
+_INITIAL_PENALTY_S = 0.5
+#: Longer than the 200 ms after which a caller sends the next copy of an opening.
+_TRIAL_TIMEOUT_S = 0.3
 
-#: Weight of the newest answer in the usual time: about the last ten count.
-_ANSWER_WEIGHT = 0.1
-#: How long a run that answers nobody is held for gone after the last sign of it:
-#: callers send again within 1.6 s, and a flow counts as safe 4 s after a cut healed.
-_FRESH_S = 2.0
-#: Flows that wait, remembered for each run: a few are enough to judge it by.
-_MOST_WAITING = 64
+#: Weight of the newest answer in the moving average of the answer time.
+_ANSWER_TIME_WEIGHT = 0.1
+#: Time after the last unanswered packet for which flows may be reset. Longer than the
+#: 1.6 s within which callers send again.
+_UNREACHABLE_VALID_S = 2.0
+_MAX_WAITING_FLOWS = 64
 
 log = make_logger("backends")
 
 
 class Backend:
-    """One run of a backend server, with this instance's own counts.
+    """One run of a backend server, with the counts of this instance.
 
     Parameters
     ----------
     run : BackendRun
-        What was told of it first.
+        First known state of the run.
     policies : Policies, optional
-        How long it is avoided at most.
+        Sets the longest time for which new flows avoid the run.
     """
 
     __slots__ = (
@@ -80,90 +76,91 @@
         self.number = run.number
         self.started_ms = run.started_ms
         self.label = label_of(run.number, run.started_ms)
-        #: Labels of earlier runs of its id, latest last.
+        #: Labels of earlier runs with the same id, latest last.
         self.earlier_labels: list[int] = []
         self.service = run.service
         self.address = unpack_address(run.address)
         self.failure_domain = run.failure_domain
         self.slots = max(1, run.slots)
         self.sequence = 0
-        #: When a control instance last told of a change.
+        #: Time of the last update from a control instance.
         self.told_s = 0.0
         self.draining = False
         self.ended = False
         self.ended_s = 0.0
-        #: Whether operators have its failure domain evacuated.
+        #: Whether the failure domain of the run is evacuated.
         self.evacuated = False
-        #: Whether control instances hold it for alive.
+        #: Whether control instances receive its reports.
         self.reporting = True
-        #: When they stopped to.
+        #: Time of the last change of `reporting`.
         self.silent_since_s = 0.0
-        #: Whether another run has the same label; then only one of them is used.
+        #: Whether another run that is used instead has the same label.
         self.shares_label = False
-        #: When it stops being slow after its start.
+        #: Time at which it is warmed up after its start.
         self.warm_s = 0.0
-        #: Share of its usual new work that control instances leave to it, 0 to 1, and
-        #: until when that is believed; see `usable_weight`.
+        #: Share of its usual new work, 0 to 1, set by control instances, and the time
+        #: at which it expires; see `usable_weight`.
         self.weight = 1.0
         self.weighed_until_s = 0.0
-        #: Open flows and unanswered requests that this instance has seen.
+        #: Open flows and unanswered requests seen by this instance.
         self.flows = 0
         self.in_flight = 0
-        #: When a caller last showed that it had heard from this run.
+        #: Time of the last packet that showed an answer to a caller.
         self.answered_s = 0.0
-        #: How long callers usually wait for it; 0 before the first answer.
+        #: Moving average of the answer time; 0 before the first answer.
         self.usual_answer_s = 0.0
         self.failures = 0
         self.penalty_until_s = 0.0
-        #: Open flows that wait for it, since it answered anybody, and since when.
+        #: Open flows that wait for an answer since the last answer to any caller, and
+        #: the time from which the first of them waits.
         self.waiting: set[FlowKey] = set()
         self.waits_since_s = 0.0
-        #: Whether it is held for gone, see `_silence`.
+        #: Whether it is considered unreachable, see `_silence`.
         self.unreachable = False
-        #: When a caller last showed that it did not hear from it.
+        #: Time of the last packet that showed a missing answer.
         self.unanswered_s = 0.0
 
     def usable_weight(self, now_s: float) -> float:
-        """Tell which share of its usual new work it gets.
+        """Return the share of its usual new work that the run gets.
 
         Parameters
         ----------
         now_s : float
-            Present time.
+            Current time.
 
         Returns
         -------
         float
-            0 to 1; 1 where nothing was told lately.
+            0 to 1; 1 if there is no current weight.
         """
         return self.weight if now_s < self.weighed_until_s else 1.0
 
     def is_gone(self, now_s: float) -> bool:
-        """Tell whether it is held for gone on evidence that is fresh.
+        """Return whether the run is unreachable by recent evidence.
 
-        A cut makes a run unreachable as an end does, and heals. An instance that gets
-        few flows may not try the run for seconds after that, while its callers are
-        served through others; a reset would then end a flow of a run that answers.
+        A run is reachable again after a network cut. An instance with few flows may
+        not try the run for seconds after that; by old evidence it would reset flows of
+        a run that answers.
 
         Parameters
         ----------
         now_s : float
-            Present time.
+            Current time.
 
         Returns
         -------
         bool
-            Whether open flows may be ended for it.
+            Whether open flows of the run may be reset.
         """
-        return self.unreachable and now_s - self.unanswered_s < _FRESH_S
+        return self.unreachable and now_s - self.unanswered_s < _UNREACHABLE_VALID_S
 
     def answer(self, now_s: float) -> None:
-        """Note that a caller has heard from it.
+        """Record that the run answered a caller.
 
         Parameters
         ----------
         now_s : float
-            Time of it.
+            Time of the answer.
         """
         self.answered_s = now_s
         self.failures = 0
@@ -173,93 +170,95 @@
             self.unreachable = False
             log.info(Event.BACKEND_ANSWERS, run=self.id)
 
-    def note_answer_time(self, took_s: float) -> None:
-        """Note how long a caller waited for an answer.
+    def record_answer_time(self, took_s: float) -> None:
+        """Record how long a caller waited for an answer.
 
         Parameters
         ----------
         took_s : float
             Time from the request.
         """
-        before_s = self.usual_answer_s or took_s
-        self.usual_answer_s = before_s + (took_s - before_s) * _ANSWER_WEIGHT
+        previous_s = self.usual_answer_s or took_s
+        self.usual_answer_s = previous_s + (took_s - previous_s) * _ANSWER_TIME_WEIGHT
 
     def wait(self, key: FlowKey, since_s: float) -> None:
-        """Note that an open flow waits for an answer.
+        """Record that an open flow waits for an answer.
 
         Parameters
         ----------
         key : FlowKey
             The flow.
         since_s : float
-            When its packet was first forwarded.
+            Time at which its packet was first forwarded.
         """
         if self.answered_s >= since_s:
             return
         if not self.waiting:
             self.waits_since_s = since_s
-        if len(self.waiting) < _MOST_WAITING:
+        if len(self.waiting) < _MAX_WAITING_FLOWS:
             self.waiting.add(key)
 
     def fail(self, since_s: float, now_s: float) -> None:
-        """Note that a caller waits for an answer to a packet.
+        """Record a missing answer and avoid the run after several of them.
 
         Parameters
         ----------
         since_s : float
-            When the packet was forwarded.
+            Time at which the packet was forwarded.
         now_s : float
-            Present time.
+            Current time.
         """
         if self.answered_s >= since_s:
-            # It answers others: the packet was lost, or its queue was full.
+            # The run answers other callers, so the packet was lost or its queue full.
             return
         self.unanswered_s = now_s
         self.failures += 1
-        beyond = self.failures - _FAILURES_BEFORE_PENALTY
-        if beyond < 0:
+        excess_count = self.failures - _FAILURES_BEFORE_PENALTY
+        if excess_count < 0:
             return
-        pause_s = self._avoid(_FIRST_PENALTY_S * 2 ** min(beyond, 8), now_s)
+        pause_s = self._penalize(_INITIAL_PENALTY_S * 2 ** min(excess_count, 8), now_s)
         log.info(
             Event.BACKEND_AVOIDED,
             run=self.id,
             failures=self.failures,
-            last_answer_ago_s=self._answered_ago_s(now_s),
+            last_answer_ago_s=self._last_answer_ago_s(now_s),
             pause_s=pause_s,
         )
 
-    def _avoid(self, pause_s: float, now_s: float) -> float:
-        """Give it no new flows for a pause; return how long it is in fact."""
+    def _penalize(self, pause_s: float, now_s: float) -> float:
+        """Stop new flows for a pause and return its length after the limit."""
         pause_s = min(pause_s, self.longest_avoidance_s)
         self.penalty_until_s = now_s + pause_s
         return pause_s
 
-    def _answered_ago_s(self, now_s: float) -> float | None:
+    def _last_answer_ago_s(self, now_s: float) -> float | None:
         return round(now_s - self.answered_s, 3) if self.answered_s else None
 
-    def hold_for_gone(self, now_s: float) -> None:
-        """Give it no new flows but one at a time, until it answers somebody.
+    def mark_unreachable(self, now_s: float) -> None:
+        """Mark the run as unreachable until it answers a caller.
+
+        Until then it gets one new flow at a time.
 
         Parameters
         ----------
         now_s : float
-            Present time.
+            Current time.
         """
         self.unreachable = True
         self.unanswered_s = now_s
-        # Their callers are told, or wait for an answer that may still come.
+        # The waiting flows are reset now, or wait for a late answer.
         self.waiting.clear()
         self.failures = max(self.failures, _FAILURES_BEFORE_PENALTY)
-        if self.penalty_until_s < now_s + _FIRST_PENALTY_S:
-            self._avoid(_FIRST_PENALTY_S, now_s)
+        if self.penalty_until_s < now_s + _INITIAL_PENALTY_S:
+            self._penalize(_INITIAL_PENALTY_S, now_s)
 
     def start_trial(self, now_s: float) -> None:
-        """Let nobody else try it until this opening shows whether it answers.
+        """Stop further openings to an avoided run while one opening tries it.
 
         Parameters
         ----------
         now_s : float
-            Present time.
+            Current time.
         """
         if self.failures >= _FAILURES_BEFORE_PENALTY:
-            self._avoid(_TRIAL_S, now_s)
+            self._penalize(_TRIAL_TIMEOUT_S, now_s)
--- a/src/agatethread/datapath/_backends.py
+++ b/src/agatethread/datapath/_backends.py
@@ -1,4 +1,4 @@
-"""Backend servers as one entry instance knows them."""
+"""Runs of backend servers that are known to an entry instance."""
 
 from collections.abc import Callable, Iterable
 
@@ -7,31 +7,29 @@
 from agatethread.settings import DEFAULT_POLICIES, Policies
 from agatethread.wire.registry_pb2 import BackendRun
 
-#: How long an ended run is remembered here, so that its flows are reset and not left
-#: waiting: the longest life of a flow.
-_ENDED_KEPT_S = 60.0
-#: Labels of earlier runs that lead to the newest run of an id. Flows live as long as
-#: `_ENDED_KEPT_S`; a backend server that starts more often in that time serves none.
-_MOST_EARLIER_LABELS = 8
+#: Longest life of a flow; until then packets of an ended run's flows are reset.
+_ENDED_RETENTION_S = 60.0
+#: Labels of earlier runs that map to the newest run of an id. Bounds the memory for a
+#: backend server that restarts in a loop.
+_MAX_EARLIER_LABELS = 8
 
-#: Reporting intervals after which every run of a readmitted failure domain has said
-#: whether it is cold; until then it counts as cold.
-_READMITTED_INTERVALS = 1.5
+#: Runs of a readmitted failure domain count as cold until all have reported again.
+_READMISSION_REPORT_INTERVALS = 1.5
 
 log = make_logger("backends")
 
 
 class BackendView:
-    """All runs by id, label and service.
+    """Index of the known runs by id, label and service.
 
     Parameters
     ----------
     now_s : callable
         Monotonic clock.
     counters : Counters
-        Counts changes.
+        Counts changes of runs.
     policies : Policies, optional
-        How runs are judged.
+        Policies for new runs.
     report_interval_s : float, optional
         Time between two reports of a run.
     """
@@ -44,65 +42,65 @@
         report_interval_s: float = 0.0,
     ):
         self._policies = policies
-        self._readmitted_cold_s = _READMITTED_INTERVALS * report_interval_s
+        self._readmitted_cold_s = _READMISSION_REPORT_INTERVALS * report_interval_s
         self._now_s = now_s
         self._counters = counters
         self._by_id: dict[str, Backend] = {}
         self._by_label: dict[int, Backend] = {}
         self._by_service: dict[str, list[Backend]] = {}
         self._evacuated: frozenset[str] = frozenset()
-        #: Evacuated failure domain that is served all the same; empty for none.
-        self._exempt = ""
-        #: Runs whose end was learned since somebody asked last.
+        #: Evacuated failure domain that still gets new flows; empty for none.
+        self._exempt_domain = ""
+        #: Runs that ended since the last call of `pop_newly_ended`.
         self._newly_ended: list[Backend] = []
 
     def __len__(self) -> int:
         return len(self._by_id)
 
     def find(self, label: int) -> Backend | None:
-        """Find the run that a label names.
+        """Return the run for a label.
 
         Parameters
         ----------
         label : int
-            As a packet carries it.
+            Label of a packet.
 
         Returns
         -------
         Backend or None
-            None if no such run was ever told of.
+            None if no run with this label is known.
         """
         return self._by_label.get(label)
 
     def of_service(self, service: str) -> list[Backend]:
-        """List a service's runs that have not ended.
+        """Return the runs of a service that have not ended.
 
         Parameters
         ----------
         service : str
-            The service.
+            Name of the service.
 
         Returns
         -------
         list of Backend
-            Also those that get no new work.
+            Includes runs that get no new flows.
         """
         return self._by_service.get(service, [])
 
     def take(self, run: BackendRun) -> None:
-        """Take what a control instance says of a run.
+        """Update a run from a message of a control instance.
 
-        Runs of an id and their states only go forward, so it does not matter in which
-        order two control instances are heard.
+        Older runs and states are ignored, so messages of several control instances may
+        arrive in any order.
 
         Parameters
         ----------
         run : BackendRun
-            Its state.
+            State of the run.
         """
         backend = self._by_id.get(run.id)
         if backend is None and not run.service:
-            # Its end is all that is known; it can't be given work.
+            # Only the end of the run is known, so it can't get flows.
             return
         if backend is not None and run.started_ms < backend.started_ms:
             return
@@ -110,9 +108,9 @@
             backend = self._add(run)
         elif run.started_ms > backend.started_ms:
             backend = self._replace(backend, run)
-        self._refresh(backend, run)
+        self._update(backend, run)
 
-    def _refresh(self, backend: Backend, run: BackendRun) -> None:
+    def _update(self, backend: Backend, run: BackendRun) -> None:
         if run.sequence > backend.sequence:
             backend.slots = max(1, run.slots)
             backend.sequence = run.sequence
@@ -122,58 +120,60 @@
             backend.draining = True
             self._log_change(backend, Event.RUN_DRAINING)
         if run.ended and not backend.ended:
-            self._end(backend)
+            self._mark_ended(backend)
             self._newly_ended.append(backend)
 
-    def take_evacuations(self, failure_domains: frozenset[str]) -> None:
-        """Take the failure domains whose runs get no new flows.
+    def set_evacuations(self, failure_domains: frozenset[str]) -> None:
+        """Set the failure domains whose runs get no new flows.
 
-        Open flows go on to their end: their callers would lose what is under way.
+        Open flows are still forwarded.
 
         Parameters
         ----------
         failure_domains : frozenset of str
-            All of them.
+            All evacuated failure domains.
         """
         log.info(Event.EVACUATIONS_IN_FORCE, domains=sorted(failure_domains))
         readmitted = self._evacuated - failure_domains
         self._evacuated = failure_domains
-        known_cold_s = self._now_s() + self._readmitted_cold_s
+        cold_until_s = self._now_s() + self._readmitted_cold_s
         for backend in self._by_id.values():
             backend.evacuated = self._is_evacuated(backend)
             if backend.failure_domain in readmitted:
-                backend.warm_s = max(backend.warm_s, known_cold_s)
+                backend.warm_s = max(backend.warm_s, cold_until_s)
 
     def exempt(self, failure_domain: str) -> None:
-        """Give a failure domain's runs new flows though it is evacuated.
+        """Set the failure domain that gets new flows although it is evacuated.
 
         Parameters
         ----------
         failure_domain : str
-            Its name; empty for none.
+            Name of the failure domain; empty for none.
         """
-        if failure_domain == self._exempt:
+        if failure_domain == self._exempt_domain:
             return
-        if self._evacuated & {failure_domain, self._exempt}:
+        if self._evacuated & {failure_domain, self._exempt_domain}:
             log.info(Event.EVACUATION_EXEMPT, domain=failure_domain)
-        self._exempt = failure_domain
+        self._exempt_domain = failure_domain
         for backend in self._by_id.values():
             backend.evacuated = self._is_evacuated(backend)
 
-    def is_answered_outside(self, failure_domain: str, since_s: float) -> bool:
-        """Tell whether callers hear from any run of the other failure domains.
+    def has_answer_from_other_domains(
+        self, failure_domain: str, since_s: float
+    ) -> bool:
+        """Return whether a run of another failure domain has answered a caller.
 
         Parameters
         ----------
         failure_domain : str
-            Whose runs do not count.
+            Own failure domain.
         since_s : float
-            Since when.
+            Time after which answers count.
 
         Returns
         -------
         bool
-            Whether one has answered since.
+            Whether a run of the other failure domains answered since then.
         """
         return any(
             backend.answered_s > since_s
@@ -183,15 +183,15 @@
 
     def _is_evacuated(self, backend: Backend) -> bool:
         domain = backend.failure_domain
-        return domain in self._evacuated and domain != self._exempt
+        return domain in self._evacuated and domain != self._exempt_domain
 
-    def take_newly_ended(self) -> list[Backend]:
-        """Hand out the runs whose end was learned since the last call.
+    def pop_newly_ended(self) -> list[Backend]:
+        """Return and clear the runs that ended since the last call.
 
         Returns
         -------
         list of Backend
-            Without those that a later run of their id has replaced: it may hold flows
+            Without runs replaced by a later run of the same id, which may hold flows
             that were placed on them.
         """
         ended, self._newly_ended = self._newly_ended, []
@@ -201,13 +201,13 @@
         backend = Backend(run, self._policies)
         backend.evacuated = self._is_evacuated(backend)
         self._by_id[run.id] = backend
-        holder = self._by_label.get(backend.label)
-        if holder is not None and not holder.ended:
-            # The same one of the two must give way on every instance.
-            loser = max(holder, backend, key=lambda one: one.id)
-            loser.shares_label = True
-            log.error(Event.LABEL_SHARED, kept=holder.id, other=backend.id)
-            if loser is holder:
+        existing = self._by_label.get(backend.label)
+        if existing is not None and not existing.ended:
+            # All instances must exclude the same run.
+            excluded = max(existing, backend, key=lambda candidate: candidate.id)
+            excluded.shares_label = True
+            log.error(Event.LABEL_SHARED, kept=existing.id, other=backend.id)
+            if excluded is existing:
                 self._by_label[backend.label] = backend
         else:
             self._by_label[backend.label] = backend
@@ -216,33 +216,32 @@
         return backend
 
     def _replace(self, earlier: Backend, run: BackendRun) -> Backend:
-        """Take a later run of an id in place of the earlier one.
+        """Replace a run by a later run of the same id.
 
-        The earlier run's flows and counts are gone with it. Its label leads to the
-        later run: an instance that did not know of it yet has placed flows on it under
-        the earlier label, and those must not be reset. Of flows that it does not hold,
-        the backend server tells their callers itself.
+        The earlier label maps to the later run, because instances that don't know the
+        later run yet place flows on it under the earlier label. The backend server
+        resets flows that it does not hold.
         """
         if not earlier.ended:
-            self._end(earlier)
+            self._mark_ended(earlier)
         if not run.service:
-            # Only its end is known: nothing is left under this id.
+            # Only the end of the later run is known.
             earlier.started_ms = run.started_ms
             return earlier
         labels = [*earlier.earlier_labels, earlier.label]
-        self._drop_labels(earlier, labels)
+        self._delete_labels(earlier, labels)
         backend = self._add(run)
-        backend.earlier_labels = labels[-_MOST_EARLIER_LABELS:]
+        backend.earlier_labels = labels[-_MAX_EARLIER_LABELS:]
         for label in backend.earlier_labels:
             self._by_label.setdefault(label, backend)
         return backend
 
-    def _drop_labels(self, backend: Backend, labels: Iterable[int]) -> None:
+    def _delete_labels(self, backend: Backend, labels: Iterable[int]) -> None:
         for label in labels:
             if self._by_label.get(label) is backend:
                 del self._by_label[label]
 
-    def _end(self, backend: Backend) -> None:
+    def _mark_ended(self, backend: Backend) -> None:
         backend.ended = True
         backend.ended_s = self._now_s()
         self._by_service[backend.service].remove(backend)
@@ -259,18 +258,18 @@
         )
 
     def judge(self, is_reporting: Callable[[str, int], bool]) -> None:
-        """Note which runs control instances hold for alive; forget long ended ones.
+        """Update which runs are reporting and delete expired ended runs.
 
         Parameters
         ----------
         is_reporting : callable
-            Tells it of a run's id and start time.
+            Returns whether a run is reporting, by its id and start time.
         """
-        oldest_s = self._now_s() - _ENDED_KEPT_S
+        oldest_s = self._now_s() - _ENDED_RETENTION_S
         for backend in list(self._by_id.values()):
             if backend.ended:
                 if backend.ended_s < oldest_s:
-                    self._forget(backend)
+                    self._delete(backend)
                 continue
             reporting = is_reporting(backend.id, backend.started_ms)
             if reporting != backend.reporting:
@@ -279,17 +278,17 @@
                 event = Event.RUN_REPORTING if reporting else Event.RUN_SILENT
                 self._log_change(backend, event)
 
-    def _forget(self, backend: Backend) -> None:
+    def _delete(self, backend: Backend) -> None:
         del self._by_id[backend.id]
-        self._drop_labels(backend, (backend.label, *backend.earlier_labels))
+        self._delete_labels(backend, (backend.label, *backend.earlier_labels))
 
     def dump(self) -> list[dict[str, object]]:
-        """List the runs for a state dump.
+        """Return the runs for a state dump.
 
         Returns
         -------
         list of dict
-            Ready for JSON.
+            JSON-serializable.
         """
         return [
             {
--- a/src/agatethread/datapath/_flows.py
+++ b/src/agatethread/datapath/_flows.py
@@ -1,7 +1,7 @@
-"""Flows as seen in passing, so that load and silence are noticed.
+"""Records of flows, from which the load and missing answers of runs are derived.
 
-Answers do not come this way, so everything is inferred from the callers' packets. No
-flow needs its record here to stay up: its label is enough, and any record may be lost.
+Answers bypass the entry instance, so they are inferred from the callers' packets. A
+flow is forwarded by its label and does not need its record.
 """
 
 from collections.abc import Collection
@@ -11,26 +11,24 @@
 from agatethread.datapath._packets import FlowKey, Packet
 from agatethread.observability import Histogram
 
-#: A flow without a packet for so long is no longer counted; it may go on elsewhere.
-_IDLE_S = 15.0
-#: A request that shows no answer for so long is no longer counted as being worked on.
-_LONGEST_REQUEST_S = 3.0
-#: Bytes that a caller has under way at most: 16 packets of 1,200.
-_WINDOW_BYTES = 16 * 1_200
-#: Callers send again what was not acknowledged for 200 ms; sooner than this it can't be
-#: that, but packets that overtook each other.
-_LEAST_WAIT_S = 0.15
-_MASK = 0xFFFFFFFF
-_HALF = 0x80000000
+#: Flows may continue through another instance.
+_IDLE_TIMEOUT_S = 15.0
+_REQUEST_TIMEOUT_S = 3.0
+#: A caller sends at most 16 packets of 1,200 bytes without an acknowledgement.
+_SEND_WINDOW_BYTES = 16 * 1_200
+#: Callers retransmit after 200 ms; an earlier repetition is due to reordering.
+_MIN_RETRANSMIT_S = 0.15
+_SEQUENCE_MASK = 0xFFFFFFFF
+_SEQUENCE_HALF = 0x80000000
 
 
 def _is_after(number: int, other: int) -> bool:
-    """Compare sequence numbers, which wrap around at 32 bits."""
-    return 0 < (number - other) & _MASK < _HALF
+    """Return whether a sequence number is after another, modulo 32 bits."""
+    return 0 < (number - other) & _SEQUENCE_MASK < _SEQUENCE_HALF
 
 
 class Flow:
-    """What was seen of one flow."""
+    """State of a flow as seen by this instance."""
 
     __slots__ = (
         "acknowledged",
@@ -46,17 +44,17 @@
 
     def __init__(self, backend: Backend, now_s: float):
         self.backend = backend
-        #: Runs that got the opening and did not answer.
+        #: Runs that did not answer the opening.
         self.tried: tuple[Backend, ...] = ()
         self.opened = False
-        #: Whether a request is counted as being worked on.
+        #: Whether a request is counted as in progress.
         self.busy = False
         self.waits_since_s = now_s
         self.seen_s = now_s
-        #: Highest sequence number sent by the caller, and acknowledged by it.
+        #: Highest sequence numbers sent and acknowledged by the caller.
         self.sent: int | None = None
         self.acknowledged: int | None = None
-        #: Sequence number from which on a window of bytes is under way.
+        #: Sequence number at which the current send window starts.
         self.progress = 0
 
 
@@ -66,17 +64,17 @@
     Parameters
     ----------
     limit_count : int
-        Most flows recorded; beyond it new ones go uncounted.
+        Maximum number of recorded flows; further flows are not counted.
     """
 
     def __init__(self, limit_count: int):
         self._limit_count = limit_count
         self._flows: dict[FlowKey, Flow] = {}
-        #: Runs that some flow has waited for since anybody asked last.
-        self._waited_for: set[Backend] = set()
-        #: Set where backend servers are judged by their answers.
+        #: Runs that flows have waited for since the last call of `waited_for`.
+        self._waited_runs: set[Backend] = set()
+        #: Set if the quality of answers is measured.
         self.watch: AnswerWatch | None = None
-        #: Time from an opening, and from a request, until the caller has its answer.
+        #: Time from an opening and from a request to the answer.
         self.opening_s = Histogram()
         self.answer_s = Histogram()
 
@@ -84,7 +82,7 @@
         return len(self._flows)
 
     def find(self, key: FlowKey) -> Flow | None:
-        """Find a flow's record.
+        """Return the record of a flow.
 
         Parameters
         ----------
@@ -94,21 +92,21 @@
         Returns
         -------
         Flow or None
-            None if it was not seen here.
+            None if the flow is not recorded.
         """
         return self._flows.get(key)
 
     def open(self, key: FlowKey, backend: Backend, now_s: float) -> None:
-        """Note that an opening is being forwarded.
+        """Record that an opening is forwarded.
 
         Parameters
         ----------
         key : FlowKey
             The flow.
         backend : Backend
-            Where the opening goes.
+            Run that gets the opening.
         now_s : float
-            Present time.
+            Current time.
         """
         flow = self._flows.get(key)
         if flow is None:
@@ -122,7 +120,7 @@
             self._move(flow, backend)
         flow.waits_since_s = now_s
         flow.seen_s = now_s
-        # A flow is opened for a request, which follows at once.
+        # A request follows the opening at once.
         self._set_busy(flow, True)
 
     def _add(self, key: FlowKey, backend: Backend, now_s: float) -> Flow | None:
@@ -145,16 +143,16 @@
             flow.backend.in_flight += 1 if busy else -1
 
     def note(self, packet: Packet, backend: Backend, now_s: float) -> None:
-        """Note a packet of an open flow.
+        """Record a packet of an open flow.
 
         Parameters
         ----------
         packet : Packet
             The packet.
         backend : Backend
-            The run that its label names.
+            Run that its label maps to.
         now_s : float
-            Present time.
+            Current time.
         """
         flow = self._flows.get(packet.key) or self._add(packet.key, backend, now_s)
         if flow is None:
@@ -164,48 +162,48 @@
         flow.seen_s = now_s
         if packet.closes or packet.resets:
             if self.watch:
-                self._watch_end(self.watch, flow, packet, now_s)
+                self._record_close(self.watch, flow, packet, now_s)
             self._remove(packet.key, flow)
             return
-        self._note_answer(flow, packet, now_s)
+        self._record_answer(flow, packet, now_s)
         if packet.payload_bytes:
-            self._note_request(flow, packet, now_s)
+            self._record_request(flow, packet, now_s)
 
     @staticmethod
-    def _watch_end(
+    def _record_close(
         watch: AnswerWatch, flow: Flow, packet: Packet, now_s: float
     ) -> None:
-        """Note an answer that the caller acknowledges as it closes the flow."""
-        before = flow.acknowledged
-        if before is not None and _is_after(packet.acknowledged, before):
-            answer_bytes = (packet.acknowledged - before) & _MASK
+        """Record the end of a flow and an answer that its last packet acknowledges."""
+        previous = flow.acknowledged
+        if previous is not None and _is_after(packet.acknowledged, previous):
+            answer_bytes = (packet.acknowledged - previous) & _SEQUENCE_MASK
             watch.answer(packet.key, answer_bytes, not packet.payload_bytes, now_s)
         watch.end(packet.key)
 
-    def _note_answer(self, flow: Flow, packet: Packet, now_s: float) -> None:
-        before = flow.acknowledged
-        if not flow.opened or before is None:
-            self._note_first(flow, packet, now_s)
+    def _record_answer(self, flow: Flow, packet: Packet, now_s: float) -> None:
+        previous = flow.acknowledged
+        if not flow.opened or previous is None:
+            self._record_first_packet(flow, packet, now_s)
             return
-        if _is_after(packet.acknowledged, before):
+        if _is_after(packet.acknowledged, previous):
             flow.acknowledged = packet.acknowledged
             flow.backend.answer(now_s)
             if self.watch:
-                answer_bytes = (packet.acknowledged - before) & _MASK
+                answer_bytes = (packet.acknowledged - previous) & _SEQUENCE_MASK
                 is_prompt = not packet.payload_bytes
                 self.watch.answer(packet.key, answer_bytes, is_prompt, now_s)
             if flow.busy:
                 took_s = now_s - flow.waits_since_s
                 self.answer_s.record(took_s)
-                flow.backend.note_answer_time(took_s)
+                flow.backend.record_answer_time(took_s)
             self._set_busy(flow, False)
 
-    def _note_first(self, flow: Flow, packet: Packet, now_s: float) -> None:
-        """Note the first packet seen after the opening, or of a flow that moved here.
+    def _record_first_packet(self, flow: Flow, packet: Packet, now_s: float) -> None:
+        """Record the first packet after the opening, or of a flow that moved here.
 
-        After an opening of this instance's it shows that the opening was answered. On a
-        flow that moved here a request may be a copy of one that nobody answered through
-        the instance before; taken for an answer it hides a dead run from all instances.
+        After an opening through this instance it shows that the opening was answered.
+        On a flow that moved here a request may be a copy of an unanswered one, so it
+        is no evidence of an answer.
         """
         was_opened_here = flow.busy and not flow.opened
         if was_opened_here:
@@ -216,12 +214,12 @@
         if was_opened_here or not packet.payload_bytes:
             flow.backend.answer(now_s)
 
-    def _note_request(self, flow: Flow, packet: Packet, now_s: float) -> None:
+    def _record_request(self, flow: Flow, packet: Packet, now_s: float) -> None:
         if flow.sent is not None and not _is_after(packet.sequence, flow.sent):
-            # The same bytes again. One copy says as much as all of a window.
-            if now_s - flow.waits_since_s >= _LEAST_WAIT_S:
+            # A retransmission; all copies of a window count as one missing answer.
+            if now_s - flow.waits_since_s >= _MIN_RETRANSMIT_S:
                 flow.backend.wait(packet.key, flow.waits_since_s)
-                self._waited_for.add(flow.backend)
+                self._waited_runs.add(flow.backend)
                 flow.backend.fail(flow.waits_since_s, now_s)
                 flow.waits_since_s = now_s
             return
@@ -233,8 +231,8 @@
             flow.progress = packet.sequence
             if self.watch:
                 self.watch.ask(packet.key, flow.backend, now_s)
-        elif (packet.sequence - flow.progress) & _MASK >= _WINDOW_BYTES:
-            # More than a window since then: the first of it was acknowledged.
+        elif (packet.sequence - flow.progress) & _SEQUENCE_MASK >= _SEND_WINDOW_BYTES:
+            # More than a send window: the start of it must have been acknowledged.
             flow.backend.answer(now_s)
             flow.waits_since_s = now_s
             flow.progress = packet.sequence
@@ -242,18 +240,18 @@
                 self.watch.ask(packet.key, flow.backend, now_s)
 
     def waited_for(self) -> set[Backend]:
-        """List the runs that open flows wait for.
+        """Return the runs that open flows wait for.
 
         Returns
         -------
         set of Backend
-            Those that have not answered since.
+            Runs that have not answered since.
         """
-        self._waited_for = {one for one in self._waited_for if one.waiting}
-        return set(self._waited_for)
+        self._waited_runs = {run for run in self._waited_runs if run.waiting}
+        return set(self._waited_runs)
 
-    def of_runs(self, runs: Collection[Backend]) -> list[tuple[FlowKey, Flow]]:
-        """List the open flows of some runs.
+    def open_flows_of(self, runs: Collection[Backend]) -> list[tuple[FlowKey, Flow]]:
+        """Return the open flows of some runs.
 
         Parameters
         ----------
@@ -263,7 +261,7 @@
         Returns
         -------
         list of tuple of (FlowKey, Flow)
-            Those that were seen to be open here.
+            Flows that this instance has seen to be open.
         """
         return [
             (key, flow)
@@ -272,7 +270,7 @@
         ]
 
     def forget(self, key: FlowKey) -> None:
-        """Drop a flow that was reset.
+        """Delete the record of a flow that was reset.
 
         Parameters
         ----------
@@ -291,15 +289,15 @@
             self.watch.forget(key)
 
     def sweep(self, now_s: float) -> None:
-        """Drop what has not been seen for long.
+        """Delete the records of idle flows and expire unanswered requests.
 
         Parameters
         ----------
         now_s : float
-            Present time.
+            Current time.
         """
         for key, flow in list(self._flows.items()):
-            if now_s - flow.seen_s > _IDLE_S:
+            if now_s - flow.seen_s > _IDLE_TIMEOUT_S:
                 self._remove(key, flow)
-            elif flow.busy and now_s - flow.seen_s > _LONGEST_REQUEST_S:
+            elif flow.busy and now_s - flow.seen_s > _REQUEST_TIMEOUT_S:
                 self._set_busy(flow, False)
--- a/src/agatethread/datapath/_forwarder.py
+++ b/src/agatethread/datapath/_forwarder.py
@@ -1,8 +1,8 @@
-"""Decides for each packet: forward it, reset its flow, or drop it.
+"""Forwards packets, resets their flows or drops them.
 
-A reset is sent only on knowledge: the run has ended or answers nobody, or no run can
-take a new flow. Of what this instance does not know it says nothing; the caller sends
-its packet again, and by then it may be known.
+A reset is sent only if the run has ended or is unreachable, or if no run can take a
+new flow. A packet that the instance lacks the state for is dropped, and the caller
+retries.
 """
 
 import random
@@ -18,13 +18,13 @@
     FlowKey,
     Packet,
     PacketCodec,
-    caller_packet,
+    make_caller_packet,
 )
 from agatethread.datapath._placing import choose_service, order_services, place_flow
 from agatethread.datapath._shared_placing import SharedPlacing
-from agatethread.datapath._sightings import SharedSilence
-from agatethread.datapath._silence import ends_with_its_run
-from agatethread.datapath._suspects import find_suspects, judge_suspect
+from agatethread.datapath._sightings import SightingExchange
+from agatethread.datapath._silence import should_reset_flow
+from agatethread.datapath._suspects import check_suspect, find_suspects
 from agatethread.observability import Counters, Event, make_logger
 from agatethread.routing import (
     NO_ROUTES,
@@ -36,8 +36,8 @@
 from agatethread.settings import DEFAULT_POLICIES, Policies
 from agatethread.wire.registry_pb2 import Sighting
 
-#: A pause in which this instance can't have run: its timers call it each 0.2 s.
-_PAUSE_S = 1.0
+#: A longer gap means that the process was suspended; timers tick every 0.2 s.
+_MAX_TICK_GAP_S = 1.0
 
 log = make_logger("forwarder")
 
@@ -48,25 +48,25 @@
     Parameters
     ----------
     codec : PacketCodec
-        The packets' wire format.
+        Wire format of the packets.
     view : BackendView
         Known backend servers.
     failure_domain : str
-        Of this instance.
+        Failure domain of this instance.
     send : callable
-        Sends a datagram to an address; also gets its flow and place in it.
+        Sends a datagram to an address; also gets its flow and sequence number.
     now_s : callable
         Monotonic clock.
     counters : Counters
-        Counts packets by what was done with them.
+        Counts packets by outcome.
     flow_limit_count : int
-        Most flows whose load is counted.
-    knows_all : callable
-        Tells whether every backend server that reports is known here.
+        Maximum number of recorded flows.
+    is_view_complete : callable
+        Returns whether every reporting backend server is known.
     policies : Policies, optional
-        How flows are placed and ended.
+        Policies for placing and resetting flows.
     cold : ColdLimits, optional
-        What cold backend servers get.
+        Limits for cold backend servers.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         now_s: Callable[[], float],
         counters: Counters,
         flow_limit_count: int,
-        knows_all: Callable[[], bool],
+        is_view_complete: Callable[[], bool],
         policies: Policies = DEFAULT_POLICIES,
         cold: ColdLimits | None = None,
     ):
@@ -89,18 +89,18 @@
         self._send = send
         self._now_s = now_s
         self._counters = counters
-        self._knows_all = knows_all
+        self._is_view_complete = is_view_complete
         self._policies = policies
-        self._ticked_s = now_s()
-        self._awake_since_s = now_s()
-        #: Set where openings are placed together with other instances.
+        self._last_tick_s = now_s()
+        self._running_since_s = now_s()
+        #: Set if openings are placed together with other instances.
         self.shared_placing: SharedPlacing | None = None
         self.loads = FlowLoads(flow_limit_count)
-        self.shared = SharedSilence(now_s)
+        self.shared = SightingExchange(now_s)
         self.table: RouteTable = NO_ROUTES
 
     def take_table(self, table: RouteTable) -> None:
-        """Put a routing table in force, unless a newer one is.
+        """Apply a routing table unless it is older than the current one.
 
         Parameters
         ----------
@@ -130,7 +130,7 @@
         Raises
         ------
         DatagramError
-            If it is no packet.
+            If the datagram is not a valid packet.
         """
         packet = self._codec.decode(data)
         self.tick()
@@ -139,8 +139,6 @@
         else:
             self._on_packet(packet)
 
-    # -- openings -----------------------------------------------------------------
-
     def _on_opening(self, packet: Packet) -> None:
         if not self.table.version:
             self._drop(packet, "no_table")
@@ -167,7 +165,7 @@
         tried: tuple[Backend, ...],
         now_s: float,
     ) -> None:
-        """Place an opening by this instance's own counts."""
+        """Place an opening by the counts of this instance."""
         backend = place_flow(
             order_services(route.targets, service),
             self._view.of_service,
@@ -178,7 +176,7 @@
             self._cold,
         )
         if backend is None:
-            self._answer_unplaced(packet, route, now_s)
+            self._reject_unplaced(packet, route, now_s)
             return
         log_placed(packet, backend, tried, now_s, self.table.version)
         backend.start_trial(now_s)
@@ -190,7 +188,7 @@
             self._counters["openings_again"] += 1
 
     def place_here(self, packet: Packet) -> None:
-        """Place an opening that nobody else takes, by this instance's own counts.
+        """Place an opening by the counts of this instance, without other instances.
 
         Parameters
         ----------
@@ -218,46 +216,44 @@
         packet : Packet
             The opening.
         backend : Backend
-            Where it goes.
+            Run that gets the opening.
         tried : tuple of Backend
-            Runs that got it before and did not answer.
+            Runs that did not answer the opening.
         waited_s : float
-            How long its caller has waited.
+            Time for which the caller has waited.
         """
         version = self.table.version
         log_placed(packet, backend, tried, self._now_s(), version, waited_s)
         self._forward(packet, backend)
 
     def refuse(self, packet: Packet, reason: str) -> None:
-        """Tell a caller that its flow is not taken on.
+        """Refuse an opening with a reset.
 
         Parameters
         ----------
         packet : Packet
-            Its opening.
+            The opening.
         reason : str
-            For logs and counters.
+            Reason for logs and counters.
         """
         self._reset(packet, reason)
 
-    def _answer_unplaced(self, packet: Packet, route: Route, now_s: float) -> None:
-        """Refuse an opening that nobody will take in time; leave others to copies."""
-        if not self._knows_all():
+    def _reject_unplaced(self, packet: Packet, route: Route, now_s: float) -> None:
+        """Reset an opening that no run can take in time; drop others for a retry."""
+        if not self._is_view_complete():
             self._drop(packet, "no_backend_known")
             return
         if is_warm_soon(route, self._view.of_service, self._cold, now_s):
-            # Refused it would come back within milliseconds, and be refused again.
+            # After a reset the caller would retry within milliseconds, too early.
             self._drop(packet, "backends_cold")
         else:
             self._reset(packet, "no_backend")
 
-    # -- packets of open flows ----------------------------------------------------
-
     def _on_packet(self, packet: Packet) -> None:
         backend = self._view.find(packet.label)
         outcome = judge_open_flow(
             is_known=backend is not None,
-            is_allowed=backend is not None and self._allows(packet, backend),
+            is_allowed=backend is not None and self._is_allowed(packet, backend),
             has_ended=backend is not None and backend.ended,
         )
         if outcome is OpenFlowOutcome.FORWARD:
@@ -265,8 +261,8 @@
                 self.shared_placing.adopt(packet.key, backend, self.loads)
             self.loads.note(packet, backend, self._now_s())
             if self.shared_placing:
-                self._note_relayed(packet.key)
-            if self._ends_flow(packet, backend):
+                self._report_relayed_packet(packet.key)
+            if self._should_reset_request(packet, backend):
                 self.loads.forget(packet.key)
                 self._reset(packet, "backend_unreachable")
                 return
@@ -276,15 +272,15 @@
         else:
             self._drop(packet, outcome.value)
 
-    def _note_relayed(self, key: FlowKey) -> None:
+    def _report_relayed_packet(self, key: FlowKey) -> None:
         flow = self.loads.find(key)
         is_over = flow is None
         self.shared_placing.note_packet(key, not is_over and flow.busy, is_over)
 
-    def _ends_flow(self, packet: Packet, backend: Backend) -> bool:
-        """Decide whether a request is better sent again on another flow.
+    def _should_reset_request(self, packet: Packet, backend: Backend) -> bool:
+        """Return whether a request should be retried on another flow.
 
-        Only where callers may do so; elsewhere an answer may still come, if late.
+        Only on idempotent routes; on others the caller waits for a late answer.
         """
         if not packet.payload_bytes or packet.closes:
             return False
@@ -294,45 +290,45 @@
         return backend.is_gone(self._now_s())
 
     def end_flows_of_lost_runs(self) -> None:
-        """Find the runs that are gone, and tell the callers of their open flows.
+        """Reset the open flows of runs that have ended or are unreachable.
 
-        To be called several times a second: what is told before a caller's next request
-        costs nothing, and later a request.
+        Called several times a second, so that a flow is reset before its caller loses
+        the next request.
         """
         now_s = self._now_s()
-        lost = self._view.take_newly_ended()
+        lost = self._view.pop_newly_ended()
         for backend in self._suspects():
-            if not backend.is_gone(now_s) and judge_suspect(
+            if not backend.is_gone(now_s) and check_suspect(
                 backend,
                 self._view,
                 self.shared,
                 now_s,
-                self._awake_since_s,
+                self._running_since_s,
                 self._policies,
             ):
                 lost.append(backend)
         if not lost or not self._policies.resets_idle_flows:
             return
-        for key, flow in self.loads.of_runs(lost):
-            self._end_flow(key, flow)
+        for key, flow in self.loads.open_flows_of(lost):
+            self._reset_open_flow(key, flow)
 
-    def _end_flow(self, key: FlowKey, flow: Flow) -> None:
+    def _reset_open_flow(self, key: FlowKey, flow: Flow) -> None:
         route = self.table.routes.get((key.host, key.port))
         is_idempotent = route is not None and route.idempotent
         has_ended = flow.backend.ended
-        if ends_with_its_run(flow.busy, is_idempotent, has_ended):
+        if should_reset_flow(flow.busy, is_idempotent, has_ended):
             self.loads.forget(key)
             reason = "backend_ended" if has_ended else "backend_unreachable"
-            packet = caller_packet(key, flow.backend.label, flow.acknowledged)
+            packet = make_caller_packet(key, flow.backend.label, flow.acknowledged)
             self._reset(packet, reason)
 
     def sightings(self) -> list[Sighting]:
-        """List what other entry instances should know of silent runs.
+        """Return the sightings of silent runs for other entry instances.
 
         Returns
         -------
         list of Sighting
-            Mostly empty.
+            Usually empty.
         """
         return self.shared.observe(self._suspects())
 
@@ -340,19 +336,17 @@
         return find_suspects(self.loads, self._view, self.shared)
 
     def tick(self) -> None:
-        """Note that this instance runs; to be called several times a second."""
+        """Detect a suspension of the process; called several times a second."""
         now_s = self._now_s()
-        if now_s - self._ticked_s > _PAUSE_S:
-            # What was not answered meanwhile says nothing about the backend servers.
-            self._awake_since_s = now_s
-        self._ticked_s = now_s
+        if now_s - self._last_tick_s > _MAX_TICK_GAP_S:
+            # Answers missed in the meantime are no evidence against backend servers.
+            self._running_since_s = now_s
+        self._last_tick_s = now_s
 
-    def _allows(self, packet: Packet, backend: Backend) -> bool:
+    def _is_allowed(self, packet: Packet, backend: Backend) -> bool:
         route = self.table.routes.get((packet.key.host, packet.key.port))
         return route is not None and backend.service in route.services
 
-    # -- outcomes -----------------------------------------------------------------
-
     def _forward(self, packet: Packet, backend: Backend) -> None:
         data = self._codec.encode_for_backend(packet, backend.label, backend.number)
         self._send(data, backend.address, packet.key, packet.sequence)
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -1,4 +1,4 @@
-"""An entry instance for labelled packets: its sockets, its tasks, its state."""
+"""Entry instance for labelled packets, with its sockets, timers and state."""
 
 import asyncio
 from dataclasses import asdict, dataclass
@@ -51,25 +51,22 @@
     RoutingTable,
 )
 
-#: Two polls fit into the time after which a silent control instance is given up.
+#: Two polls fit into the timeout of a control instance.
 _POLL_INTERVAL_S = 0.4
-_JUDGE_INTERVAL_S = 0.2
-#: Each step from a waiting flow to the verdict of all instances takes so long at most;
-#: half the pause cut the requests not served from 0.31 to 0.26 %, together with the
-#: shorter silence of `_silence`.
-_SUSPECT_INTERVAL_S = 0.1
-_URGENT_INTERVAL_S = 0.05
+_VIEW_UPDATE_INTERVAL_S = 0.2
+#: Bounds the delay of each step from a waiting flow to the decision of all instances.
+_SUSPECT_CHECK_INTERVAL_S = 0.1
+_URGENT_POLL_INTERVAL_S = 0.05
 _SWEEP_INTERVAL_S = 1.0
-_CHECK_INTERVAL_S = 0.1
-#: An opening that waits is refused so long after it can't be served any more at most.
-_LINE_INTERVAL_S = 0.05
-#: Without an answer from the other failure domains for so long they may be out of
-#: reach: as long as control instances may be silent.
-_CUT_OFF_S = 1.0
-#: Rate of a link that never makes a packet wait.
+_READINESS_CHECK_INTERVAL_S = 0.1
+#: Longest delay until an opening that can't be served in time is refused.
+_OPENING_QUEUE_INTERVAL_S = 0.05
+#: Time without an answer from other failure domains, equal to the timeout of control
+#: instances.
+_CUT_OFF_TIMEOUT_S = 1.0
+#: Never delays a packet.
 _UNPACED_BITS_PER_S = 1e12
-#: Pause between two questions of a stopping instance whether it may leave.
-_ASK_INTERVAL_S = 0.1
+_TURN_POLL_INTERVAL_S = 0.1
 
 log = make_logger("entry")
 
@@ -81,34 +78,33 @@
     Attributes
     ----------
     name : str
-        Of the instance.
+        Name of the instance.
     failure_domain : str
-        Of the instance.
+        Failure domain of the instance.
     datagrams : str
-        ``IP:port`` where callers' packets arrive.
+        ``IP:port`` for callers' packets.
     registry : str
-        ``IP:port`` where control instances are heard.
+        ``IP:port`` for messages of control instances.
     seeds : tuple of bytes
         Packed registry addresses of some control instances.
     grace_s : float
-        Time from the order to stop until the process is killed.
+        Time from the stop request until the process is killed.
     link_bits_per_s : float
         Rate of the instance's link.
     flow_limit_count : int
-        Most flows whose load is counted.
+        Maximum number of recorded flows.
     listen_host : str, optional
-        IP number to hear control instances at, where something in between forwards what
-        they send to the advertised one.
+        Address to bind for registry messages if it is not the advertised one.
     report_interval_s : float, optional
         Time between two reports of a backend server.
     cold_overshoot : float, optional
-        How many times its rate a cold backend server may get in a second.
+        Factor on the rate of a cold backend server.
     cold_slack_per_s : float, optional
-        Requests that it may get in a second besides.
+        Requests per second in addition to that.
     parts : Parts, optional
-        Which parts the deployment calls for.
+        Enabled parts.
     policies : Policies, optional
-        What it decides by.
+        Policies of the instance.
     """
 
     name: str
@@ -128,16 +124,16 @@
 
 
 class LabelEntryInstance(Service):
-    """Forwards packets to backend servers that control instances told it of.
+    """Forwards packets to the backend servers reported by control instances.
 
     Parameters
     ----------
     settings : LabelEntrySettings
-        Its settings.
+        Settings of the instance.
     codec : PacketCodec
-        The packets' wire format.
+        Wire format of the packets.
     counters : Counters
-        The process's counters.
+        Counters of the process.
     """
 
     def __init__(
@@ -187,7 +183,7 @@
             self.view.take,
             self._on_routes,
             counters,
-            KnownEvacuations(self.view.take_evacuations),
+            KnownEvacuations(self.view.set_evacuations),
         )
         if settings.parts.relays_openings:
             self.forwarder.shared_placing = make_shared_placing(
@@ -202,12 +198,14 @@
                 counters,
                 policies,
             )
-        self.answers = self._make_answers() if settings.parts.judges_answers else None
+        self.answers = (
+            self._make_answer_reports() if settings.parts.judges_answers else None
+        )
         self.subscription.presence = PRESENCE_AWAY
-        self._heard_control_s = 0.0
+        self._last_control_message_s = 0.0
         self.is_ready = False
 
-    def _make_answers(self) -> AnswerReports:
+    def _make_answer_reports(self) -> AnswerReports:
         return AnswerReports(
             self.forwarder,
             self.view,
@@ -219,7 +217,7 @@
         )
 
     async def on_start(self) -> None:
-        """Start to read and to ask."""
+        """Start reading the sockets and polling control instances."""
         self._transport.start(self._on_message)
         start_reading(
             self._socket,
@@ -227,13 +225,17 @@
         )
         self.timers.subscribe(_POLL_INTERVAL_S, self.subscription.poll)
         if self._settings.policies.asks_urgently:
-            self.timers.subscribe(_URGENT_INTERVAL_S, self.subscription.knock_urgently)
-        self.timers.subscribe(_JUDGE_INTERVAL_S, self._judge)
-        self.timers.subscribe(_SUSPECT_INTERVAL_S, self._judge_suspects)
-        self.timers.subscribe(_CHECK_INTERVAL_S, self._check_ready)
+            self.timers.subscribe(
+                _URGENT_POLL_INTERVAL_S, self.subscription.knock_urgently
+            )
+        self.timers.subscribe(_VIEW_UPDATE_INTERVAL_S, self._update_view)
+        self.timers.subscribe(_SUSPECT_CHECK_INTERVAL_S, self._check_suspects)
+        self.timers.subscribe(_READINESS_CHECK_INTERVAL_S, self._check_ready)
         self.timers.subscribe(_SWEEP_INTERVAL_S, self._sweep)
         if self.forwarder.shared_placing:
-            self.timers.subscribe(_LINE_INTERVAL_S, self.forwarder.shared_placing.tick)
+            self.timers.subscribe(
+                _OPENING_QUEUE_INTERVAL_S, self.forwarder.shared_placing.tick
+            )
         if self.answers:
             self.timers.subscribe(REPORT_INTERVAL_S, self.answers.tick)
         self.subscription.poll()
@@ -245,7 +247,7 @@
         self._transport.close()
 
     async def leave(self) -> None:
-        """Wait for a turn, ask for no more packets, forward those that still come."""
+        """Wait for a turn, become not ready and forward packets for the notice time."""
         settings = self._settings
         departure = Departure(self.timers.now_s, settings.grace_s, settings.policies)
         waited_s = await self._wait_for_turn(departure)
@@ -260,16 +262,14 @@
         self.subscription.presence = PRESENCE_LEAVING
         self.subscription.poll()
         while not departure.may_go(self.subscription.domain_view(departure.asked_s)):
-            await asyncio.sleep(_ASK_INTERVAL_S)
+            await asyncio.sleep(_TURN_POLL_INTERVAL_S)
             self.subscription.poll()
         return self.timers.now_s() - departure.asked_s
 
-    # -- control ------------------------------------------------------------------
-
     def _on_message(self, message: RegistryMessage, source: bytes) -> None:
         body = message.WhichOneof("body")
         if body == "delta":
-            self._heard_control_s = self.timers.now_s()
+            self._last_control_message_s = self.timers.now_s()
             self.subscription.on_delta(message.delta, source)
         elif body == "routes":
             self.subscription.on_chunk(message.routes, source)
@@ -285,15 +285,17 @@
     def _on_routes(self, table: RoutingTable) -> None:
         self.forwarder.take_table(decode_table(table))
 
-    def _judge(self) -> None:
+    def _update_view(self) -> None:
         self.forwarder.tick()
         self.view.judge(self.subscription.is_reporting)
         self._cold.rank = widest_rank(
             self.subscription.live(), self._settings.failure_domain
         )
         if self.forwarder.shared_placing:
-            told = merge_dispatchers(self.subscription.live(), self.timers.now_s())
-            self.forwarder.shared_placing.take_dispatchers(told)
+            dispatchers = merge_dispatchers(
+                self.subscription.live(), self.timers.now_s()
+            )
+            self.forwarder.shared_placing.take_dispatchers(dispatchers)
         if self._settings.policies.serves_evacuated_when_cut_off:
             self.view.exempt(
                 self._settings.failure_domain if self._is_cut_off() else ""
@@ -301,14 +303,16 @@
 
     def _is_cut_off(self) -> bool:
         domain = self._settings.failure_domain
-        if self.view.is_answered_outside(domain, self.timers.now_s() - _CUT_OFF_S):
+        if self.view.has_answer_from_other_domains(
+            domain, self.timers.now_s() - _CUT_OFF_TIMEOUT_S
+        ):
             return False
         links = self.subscription.links.values()
         if not are_silent(links, domain, self.timers.now_s()):
             return False
         return is_cut_off(links, self.subscription.live(), domain)
 
-    def _judge_suspects(self) -> None:
+    def _check_suspects(self) -> None:
         self.forwarder.end_flows_of_lost_runs()
         if not self._settings.policies.shares_sightings:
             return
@@ -328,7 +332,7 @@
             has_table=self.forwarder.table.version > 0,
             has_backends=len(self.view) > 0,
             is_complete=self.subscription.is_complete(),
-            heard_control_s=self._heard_control_s,
+            last_control_message_s=self._last_control_message_s,
         )
         if ready != self.is_ready:
             log.info(
@@ -338,9 +342,9 @@
                 controls=len(self.subscription.live()),
             )
         self.is_ready = ready
-        self._note_presence()
+        self._update_presence()
 
-    def _note_presence(self) -> None:
+    def _update_presence(self) -> None:
         if self.subscription.presence == PRESENCE_LEAVING and self.is_ready:
             return
         presence = PRESENCE_SERVING if self.is_ready else PRESENCE_AWAY
@@ -348,15 +352,13 @@
             self.subscription.presence = presence
             self.subscription.poll()
 
-    # -- state --------------------------------------------------------------------
-
     def measures(self) -> Measures:
-        """Name what this instance measures.
+        """Return the metrics of this instance.
 
         Returns
         -------
         Measures
-            Read when somebody asks for metrics.
+            Values are read when metrics are exported.
         """
         loads, shared = self.forwarder.loads, self.forwarder.shared_placing
         return Measures(
@@ -368,7 +370,9 @@
                 "backends": lambda: float(len(self.view)),
                 "routes_version": lambda: float(self.forwarder.table.version),
                 "controls_in_sight": lambda: float(len(self.subscription.live())),
-                "control_silent_s": lambda: self.timers.now_s() - self._heard_control_s,
+                "control_silent_s": lambda: (
+                    self.timers.now_s() - self._last_control_message_s
+                ),
             }
             | (shared.gauges() if shared else {}),
             {"opening_s": loads.opening_s, "answer_s": loads.answer_s}
@@ -376,12 +380,12 @@
         )
 
     def dump(self) -> dict[str, Any]:
-        """Give the instance's state.
+        """Return the state of the instance for a dump.
 
         Returns
         -------
         dict
-            Ready for JSON.
+            JSON-serializable.
         """
         return (self.answers.dump() if self.answers else {}) | {
             "instance": self._settings.name,
--- a/src/agatethread/datapath/_packets.py
+++ b/src/agatethread/datapath/_packets.py
@@ -1,4 +1,4 @@
-"""A packet as the data path sees it, whatever its format on the wire."""
+"""Packets of callers, independent of their wire format."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -7,12 +7,12 @@
 from typing import NamedTuple
 
 Address = tuple[str, int]
-#: The caller's address and port, and the service's.
-_FLOW = Struct("!IHIH")
+#: Address and port of the caller, then of the service.
+_FLOW_STRUCT = Struct("!IHIH")
 
 
 class FlowKey(NamedTuple):
-    """Addresses and ports of a flow, as numbers."""
+    """Addresses and ports of a flow as integers."""
 
     caller: int
     caller_port: int
@@ -26,7 +26,7 @@
 
 
 def pack_flow(key: FlowKey) -> bytes:
-    """Write a flow for a message.
+    """Return a flow key in the format of registry messages.
 
     Parameters
     ----------
@@ -38,33 +38,36 @@
     bytes
         12 bytes in network order.
     """
-    return _FLOW.pack(*key)
+    return _FLOW_STRUCT.pack(*key)
 
 
 def unpack_flow(data: bytes) -> FlowKey | None:
-    """Read a flow from a message.
+    """Return a flow key from a registry message.
 
     Parameters
     ----------
     data : bytes
-        As `pack_flow` wrote it.
+        Output of `pack_flow`.
 
     Returns
     -------
     FlowKey or None
-        None if it is none.
+        None if the length is wrong.
     """
-    return FlowKey(*_FLOW.unpack(data)) if len(data) == _FLOW.size else None
+    return (
+        FlowKey(*_FLOW_STRUCT.unpack(data)) if len(data) == _FLOW_STRUCT.size else None
+    )
 
 
 class Packet(NamedTuple):
-    """The decoded header of a caller's packet, and the packet itself."""
+    """Decoded header of a caller's packet, and the packet itself."""
 
-    #: Names the backend server; 0 where the caller knows none yet.
+    #: Label of the run; 0 if the caller has none yet.
     label: int
     key: FlowKey
-    #: Opens a flow; later copies have a higher `copy`.
+    #: Whether it opens a flow.
     opens: bool
+    #: 0 for the first opening; increases with each copy.
     copy: int
     closes: bool
     resets: bool
@@ -74,41 +77,41 @@
     data: bytes
 
 
-def caller_packet(key: FlowKey, label: int, acknowledged: int) -> Packet:
-    """Make a packet that stands for the last one of a caller.
+def make_caller_packet(key: FlowKey, label: int, acknowledged: int) -> Packet:
+    """Return a packet in place of the caller's last one, for a reset.
 
     Parameters
     ----------
     key : FlowKey
-        Its flow.
+        The flow.
     label : int
-        Of the run that holds the flow.
+        Label of the run that holds the flow.
     acknowledged : int
-        Sequence number that the caller acknowledged last.
+        Last sequence number acknowledged by the caller.
 
     Returns
     -------
     Packet
-        Enough of one to reset the flow.
+        Has only the fields that a reset needs.
     """
     return Packet(label, key, False, 0, False, False, 0, acknowledged, 0, b"")
 
 
 @dataclass(frozen=True, slots=True)
 class PacketCodec:
-    """Functions that know a wire format.
+    """Functions that implement a wire format.
 
     Attributes
     ----------
     decode : callable
-        Reads a datagram; raises `DatagramError`.
+        Decodes a datagram; raises `DatagramError`.
     encode_for_backend : callable
-        Makes the datagram for a backend server from a packet, the label to put in it
-        and the number of the run that it is meant for.
+        Encodes the datagram for a backend server from a packet, the label to put in it
+        and the number of the run.
     encode_reset : callable
-        Makes the datagram that tells a caller that its flow is over.
+        Encodes the datagram that resets a caller's flow.
     caller_address : callable
-        Where a caller's datagrams are sent to.
+        Returns the address for datagrams to a caller.
     """
 
     decode: Callable[[bytes], Packet]
--- a/src/agatethread/datapath/_readiness.py
+++ b/src/agatethread/datapath/_readiness.py
@@ -1,25 +1,24 @@
-"""Whether this instance should get packets: a decision of its own."""
+"""Readiness of an entry instance to get packets."""
 
 from collections.abc import Callable
 
 from agatethread.settings import DEFAULT_POLICIES, Policies
 
-#: A pause between two checks that means that the process stood still.
-_PAUSE_S = 2.0
-#: It goes without knowing every backend server if none of the control instances can
-#: tell for so long: some service is better than none.
-_LONGEST_WAIT_S = 4.0
+#: A longer gap between two checks means that the process was suspended.
+_MAX_CHECK_GAP_S = 2.0
+#: Time after the start from which it serves with an incomplete list of backend servers.
+_MAX_INCOMPLETE_S = 4.0
 
 
 class Readiness:
-    """Turns true once enough is known, and false while stopping.
+    """Decides whether an entry instance is ready to get packets.
 
     Parameters
     ----------
     now_s : callable
         Monotonic clock.
     policies : Policies, optional
-        How long it waits after a pause to hear from a control instance.
+        Sets the wait for a control instance after the process was suspended.
     """
 
     def __init__(
@@ -28,7 +27,7 @@
         self._relearn_wait_s = policies.relearn_wait_s
         self._now_s = now_s
         self._started_s = now_s()
-        self._checked_s = self._started_s
+        self._last_check_s = self._started_s
         self._relearn_until_s = 0.0
         self._was_ready = False
         self.stopping = False
@@ -38,9 +37,9 @@
         has_table: bool,
         has_backends: bool,
         is_complete: bool,
-        heard_control_s: float,
+        last_control_message_s: float,
     ) -> bool:
-        """Decide.
+        """Return whether the instance is ready to get packets.
 
         Parameters
         ----------
@@ -49,26 +48,26 @@
         has_backends : bool
             Whether any backend server is known.
         is_complete : bool
-            Whether all backend servers are known that report.
-        heard_control_s : float
-            When a control instance was last heard.
+            Whether all reporting backend servers are known.
+        last_control_message_s : float
+            Time of the last message from a control instance.
 
         Returns
         -------
         bool
-            Whether it should get packets.
+            Whether routers should send it packets.
         """
         now_s = self._now_s()
-        if now_s - self._checked_s > _PAUSE_S:
+        if now_s - self._last_check_s > _MAX_CHECK_GAP_S:
             self._relearn_until_s = now_s + self._relearn_wait_s
-        woke_s = self._relearn_until_s - self._relearn_wait_s
-        self._checked_s = now_s
+        resumed_s = self._relearn_until_s - self._relearn_wait_s
+        self._last_check_s = now_s
         if self.stopping or not has_table or not has_backends:
             return False
         if self._was_ready:
-            # What it knew before the pause may be wrong by now.
-            return now_s >= self._relearn_until_s or heard_control_s > woke_s
-        if not is_complete and now_s - self._started_s < _LONGEST_WAIT_S:
+            # The state from before the suspension may be outdated.
+            return now_s >= self._relearn_until_s or last_control_message_s > resumed_s
+        if not is_complete and now_s - self._started_s < _MAX_INCOMPLETE_S:
             return False
         self._was_ready = True
         return True
--- a/src/agatethread/datapath/_sightings.py
+++ b/src/agatethread/datapath/_sightings.py
@@ -1,27 +1,26 @@
-"""What this entry instance says of silent runs, and what it was told of them."""
+"""Sightings of silent runs, exchanged with other entry instances."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
 
 from agatethread.datapath._backend import Backend
-from agatethread.datapath._silence import NOTHING_TOLD, Told
+from agatethread.datapath._silence import NO_POOLED_SIGHTING, PooledSighting
 from agatethread.wire.registry_pb2 import Sighting, Sightings
 
-#: What was told is believed for so long: control instances say it again each 0.1 s, and
-#: some of these may be lost.
-_BELIEVED_S = 0.6
-#: Longer silence says no more, and must fit the 32 bits of a message.
-_LONGEST_TOLD_S = 3_600.0
+#: Control instances repeat sightings every 0.1 s; some messages may be lost.
+_SIGHTING_TIMEOUT_S = 0.6
+#: Fits the 32 bits of the message field.
+_MAX_SILENCE_S = 3_600.0
 
 
 @dataclass(frozen=True, slots=True)
-class _Heard:
-    at_s: float
-    told: Told
+class _ReceivedSighting:
+    received_s: float
+    pooled: PooledSighting
 
 
-class SharedSilence:
-    """What control instances told last of each run, by its label.
+class SightingExchange:
+    """Sightings received and sent by this instance, by label.
 
     Parameters
     ----------
@@ -31,25 +30,30 @@
 
     def __init__(self, now_s: Callable[[], float]):
         self._now_s = now_s
-        self._heard: dict[int, _Heard] = {}
-        #: When this instance said last that flows wait for a run.
-        self._said_s: dict[int, float] = {}
+        self._received: dict[int, _ReceivedSighting] = {}
+        #: Time at which this instance last reported waiting flows of a run.
+        self._reported_s: dict[int, float] = {}
 
     def take(self, sightings: Sightings) -> None:
-        """Take what a control instance has put together.
+        """Store the pooled sightings of a control instance.
 
         Parameters
         ----------
         sightings : Sightings
-            Its message.
+            Message of the control instance.
         """
         now_s = self._now_s()
-        for one in sightings.runs:
-            told = Told(one.waiting, one.silent_ms / 1000, one.observers, one.domains)
-            self._heard[one.label] = _Heard(now_s, told)
-
-    def of(self, backend: Backend) -> Told:
-        """Look up what was told of a run lately.
+        for sighting in sightings.runs:
+            pooled = PooledSighting(
+                sighting.waiting,
+                sighting.silent_ms / 1000,
+                sighting.observers,
+                sighting.domains,
+            )
+            self._received[sighting.label] = _ReceivedSighting(now_s, pooled)
+
+    def of(self, backend: Backend) -> PooledSighting:
+        """Return the current pooled sighting of a run.
 
         Parameters
         ----------
@@ -58,73 +62,78 @@
 
         Returns
         -------
-        Told
-            `NOTHING_TOLD` if there was nothing.
+        PooledSighting
+            `NO_POOLED_SIGHTING` if there is none.
         """
-        heard = self._heard.get(backend.label)
-        if heard is None or self._now_s() - heard.at_s > _BELIEVED_S:
-            return NOTHING_TOLD
-        return heard.told
+        received = self._received.get(backend.label)
+        if (
+            received is None
+            or self._now_s() - received.received_s > _SIGHTING_TIMEOUT_S
+        ):
+            return NO_POOLED_SIGHTING
+        return received.pooled
 
     def labels(self) -> list[int]:
-        """List the runs of which something was told or said lately.
+        """Return the labels of runs with current sightings, and delete expired ones.
 
         Returns
         -------
         list of int
-            Their labels.
+            Labels with received or reported sightings; may repeat.
         """
-        oldest_s = self._now_s() - _BELIEVED_S
-        self._heard = {
-            label: heard
-            for label, heard in self._heard.items()
-            if heard.at_s >= oldest_s
+        oldest_s = self._now_s() - _SIGHTING_TIMEOUT_S
+        self._received = {
+            label: received
+            for label, received in self._received.items()
+            if received.received_s >= oldest_s
         }
-        self._said_s = {
-            label: said_s
-            for label, said_s in self._said_s.items()
-            if said_s >= oldest_s
+        self._reported_s = {
+            label: reported_s
+            for label, reported_s in self._reported_s.items()
+            if reported_s >= oldest_s
         }
-        return [*self._heard, *self._said_s]
+        return [*self._received, *self._reported_s]
 
     def observe(self, backends: Iterable[Backend]) -> list[Sighting]:
-        """List what is to be told of runs.
+        """Return the sightings to send to control instances.
 
         Parameters
         ----------
         backends : iterable of Backend
-            Those that flows wait for here or, as was told, elsewhere.
+            Runs that flows wait for at any instance.
 
         Returns
         -------
         list of Sighting
-            Those that flows wait for here, and those that have answered here though
-            flows wait for them elsewhere.
+            Runs that flows wait for here, and runs that have answered here while flows
+            wait for them at other instances.
         """
         now_s = self._now_s()
         sightings = []
         for backend in backends:
             if backend.waiting:
-                self._said_s[backend.label] = now_s
+                self._reported_s[backend.label] = now_s
                 silent_s = now_s - backend.waits_since_s
-                sightings.append(_sighting(backend, len(backend.waiting), silent_s))
-            elif self._has_news(backend, now_s):
-                answered_ago_s = now_s - backend.answered_s
-                sightings.append(_sighting(backend, 0, answered_ago_s))
+                sightings.append(
+                    _make_sighting(backend, len(backend.waiting), silent_s)
+                )
+            elif self._contradicts_others(backend, now_s):
+                last_answer_ago_s = now_s - backend.answered_s
+                sightings.append(_make_sighting(backend, 0, last_answer_ago_s))
         return sightings
 
-    def _has_news(self, backend: Backend, now_s: float) -> bool:
-        """Tell whether an answer here speaks against what others hold for true."""
+    def _contradicts_others(self, backend: Backend, now_s: float) -> bool:
+        """Return whether an answer here contradicts the sightings of others."""
         if backend.unreachable:
             return False
-        if backend.label in self._said_s:
-            # What this instance said itself has ended.
+        if backend.label in self._reported_s:
+            # Flows reported by this instance no longer wait.
             return True
-        told = self.of(backend)
-        return bool(told.waiting) and now_s - backend.answered_s < told.silent_s
+        pooled = self.of(backend)
+        return bool(pooled.waiting) and now_s - backend.answered_s < pooled.silent_s
 
 
-def _sighting(backend: Backend, waiting: int, silent_s: float) -> Sighting:
-    # A run that never answered is silent since the start of the clock.
-    silent_ms = round(min(silent_s, _LONGEST_TOLD_S) * 1000)
+def _make_sighting(backend: Backend, waiting: int, silent_s: float) -> Sighting:
+    # For a run that never answered, the silence starts with the clock.
+    silent_ms = round(min(silent_s, _MAX_SILENCE_S) * 1000)
     return Sighting(label=backend.label, waiting=waiting, silent_ms=silent_ms)
--- a/src/agatethread/datapath/_silence.py
+++ b/src/agatethread/datapath/_silence.py
@@ -1,10 +1,9 @@
-"""Whether a run that answers nobody is held for gone, so that its open flows may end.
+"""Decides whether a run is unreachable, so that its open flows may be reset.
 
-The load that this answers: a backend server that dies without a word, or that a cut
-hides, holds dozens of long flows. Each sends its next request into the void and waits
-until its time is over, unless it is told; told, it sends the request again on another
-flow at once. On a live flow a reset costs a request, so one is sent only if the run is
-silent while others answer, and only where requests may be sent again.
+Handles a backend server with many long flows that crashes or is cut off. After a reset
+a caller retries its request on another flow at once, instead of waiting for its
+timeout. A reset of a live flow costs a request, so a run is unreachable only if it is
+silent while other runs answer.
 """
 
 from collections.abc import Iterable
@@ -14,47 +13,44 @@
 from agatethread.observability import Event, make_logger
 from agatethread.settings import DEFAULT_POLICIES, Policies
 
-#: Open flows that wait: one may have lost its packets, and its copies, on its own way.
-_LEAST_WAITING = 3
-#: Silence towards all callers. A full server refuses within milliseconds, and one with
-#: its queue full of the longest requests answers some caller each 0.14 s.
-_LEAST_SILENCE_S = 0.8
-#: Silence towards the callers of several instances, if enough of them wait: so many
-#: times what the run usually takes to answer, within these bounds. A run that suddenly
-#: takes half a second for each request still keeps its flows.
-_USUAL_ANSWERS = 10.0
-_LEAST_SHARED_SILENCE_S = 0.6
-#: Flows and instances that are enough for that: at 13 requests a second for a run, as
-#: many wait within half a second of its death.
-_MANY_WAITING = 4
-_MANY_OBSERVERS = 3
-#: Another run of the service has answered within this time, so what this instance sends
-#: arrives, and what callers send reaches it.
-_RECENT_S = 0.5
-#: Entry instances where flows wait, before one believes what it has not seen enough of:
-#: the fault may be one instance's own.
-_LEAST_OBSERVERS = 2
-#: Their failure domains, before one believes what it has not seen at all: what a cut
-#: hides from one domain the others may still reach.
-_LEAST_DOMAINS = 2
+#: A single flow may have lost its packets on the caller's path.
+_MIN_WAITING_FLOWS = 3
+#: An overloaded server refuses within milliseconds, and one with a full queue of slow
+#: requests still answers some caller several times in this period.
+_MIN_SILENCE_S = 0.8
+#: With strong evidence from several instances, this multiple of the usual answer time
+#: is enough, within these bounds. A run that slows to half a second keeps its flows.
+_USUAL_ANSWER_FACTOR = 10.0
+_MIN_SHARED_SILENCE_S = 0.6
+#: Waiting flows and instances that count as strong evidence.
+_STRONG_WAITING_FLOWS = 4
+_STRONG_OBSERVERS = 3
+#: A recent answer of another run shows that packets of callers and of this instance
+#: arrive.
+_RECENT_ANSWER_S = 0.5
+#: Required beside too little own evidence: the fault may be in a single instance.
+_MIN_OBSERVERS = 2
+#: Required without own evidence: a run cut off from one failure domain may be
+#: reachable from others.
+_MIN_DOMAINS = 2
 
 log = make_logger("silence")
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What entry instances together see of a run.
+class PooledSighting:
+    """Combined sightings of a run from all entry instances.
 
     Attributes
     ----------
     waiting : int
-        Open flows that wait for it.
+        Open flows that wait for the run.
     silent_s : float
-        How long, with none of the instances answered.
+        Time without an answer at any instance.
     observers : int
-        Instances where flows wait.
+        Instances with waiting flows.
     domains : int
-        Their failure domains.
+        Failure domains of these instances.
     """
 
     waiting: int = 0
@@ -63,32 +59,28 @@
     domains: int = 0
 
 
-#: No other instance has said anything of the run.
-NOTHING_TOLD = Told()
+NO_POOLED_SIGHTING = PooledSighting()
 
 
-def ends_with_its_run(is_busy: bool, is_idempotent: bool, has_ended: bool) -> bool:
-    """Decide whether an open flow is reset once its run is gone or held for gone.
+def should_reset_flow(is_busy: bool, is_idempotent: bool, has_ended: bool) -> bool:
+    """Return whether an open flow of an ended or unreachable run is reset.
 
-    The load that this answers: long flows with a pause between requests, of callers
-    that may not send a request again. The next request on such a flow is lost; reset
-    during the pause the flow costs nothing, and the request goes to another run. On
-    days with silent servers, cuts and losses of power the share of requests not served
-    fell from 0.59 to 0.41 % (means of six days with two seeds each).
+    Handles long flows with pauses between requests: after a reset during the pause the
+    next request goes to another run instead of being lost.
 
     Parameters
     ----------
     is_busy : bool
         Whether a request waits for its answer.
     is_idempotent : bool
-        Whether callers may send it again.
+        Whether callers may retry the request.
     has_ended : bool
-        Whether the run is known to have ended, so that no answer can come.
+        Whether the run has ended, so that no answer can arrive.
 
     Returns
     -------
     bool
-        Whether its caller is told.
+        Whether to reset the flow.
     """
     return has_ended or is_idempotent or not is_busy
 
@@ -97,11 +89,11 @@
     backend: Backend,
     runs: Iterable[Backend],
     now_s: float,
-    awake_since_s: float,
-    told: Told = NOTHING_TOLD,
+    running_since_s: float,
+    pooled: PooledSighting = NO_POOLED_SIGHTING,
     policies: Policies = DEFAULT_POLICIES,
 ) -> bool:
-    """Decide whether a run is held for gone.
+    """Return whether a run is silent while other runs of its service answer.
 
     Parameters
     ----------
@@ -110,28 +102,28 @@
     runs : iterable of Backend
         All runs of its service.
     now_s : float
-        Present time.
-    awake_since_s : float
-        Since when this instance has run without a pause.
-    told : Told, optional
-        What all instances see of it, this one among them.
+        Current time.
+    running_since_s : float
+        Time since which this process has not been suspended.
+    pooled : PooledSighting, optional
+        Combined sightings of the run, with those of this instance.
     policies : Policies, optional
-        How long a silence is enough.
+        Sets the required silence.
 
     Returns
     -------
     bool
-        Whether it answers nobody, though others do.
+        Whether the run is unreachable.
     """
-    if backend.waiting and backend.waits_since_s < awake_since_s:
-        # Callers waited for this instance, not for the run.
+    if backend.waiting and backend.waits_since_s < running_since_s:
+        # The delay was caused by the suspension of this process.
         backend.waiting.clear()
         return False
-    silent_s = _silence_s(backend, now_s, told)
-    enough_s = _enough_silence_s(backend, told, policies)
-    if silent_s < enough_s or now_s - awake_since_s < silent_s:
+    silent_s = _observed_silence_s(backend, now_s, pooled)
+    required_s = _required_silence_s(backend, pooled, policies)
+    if silent_s < required_s or now_s - running_since_s < silent_s:
         return False
-    answering = _find_answering(backend, runs, now_s)
+    answering = _find_recently_answering(backend, runs, now_s)
     if answering is None:
         return False
     log.info(
@@ -140,40 +132,47 @@
         flows_waiting=len(backend.waiting),
         silent_s=round(silent_s, 3),
         answered_by=answering.id,
-        waiting_everywhere=told.waiting,
-        observers=told.observers,
+        waiting_everywhere=pooled.waiting,
+        observers=pooled.observers,
     )
     return True
 
 
-def _enough_silence_s(backend: Backend, told: Told, policies: Policies) -> float:
-    """Find how long a run has to be silent to be held for gone."""
-    is_much = told.waiting >= _MANY_WAITING and told.observers >= _MANY_OBSERVERS
-    if not (policies.judges_by_answer_time and is_much and backend.usual_answer_s):
-        return _LEAST_SILENCE_S
-    usual_s = _USUAL_ANSWERS * backend.usual_answer_s
-    return min(max(usual_s, _LEAST_SHARED_SILENCE_S), _LEAST_SILENCE_S)
+def _required_silence_s(
+    backend: Backend, pooled: PooledSighting, policies: Policies
+) -> float:
+    """Return the silence after which a run is unreachable."""
+    is_strong = (
+        pooled.waiting >= _STRONG_WAITING_FLOWS
+        and pooled.observers >= _STRONG_OBSERVERS
+    )
+    if not (policies.judges_by_answer_time and is_strong and backend.usual_answer_s):
+        return _MIN_SILENCE_S
+    usual_s = _USUAL_ANSWER_FACTOR * backend.usual_answer_s
+    return min(max(usual_s, _MIN_SHARED_SILENCE_S), _MIN_SILENCE_S)
 
 
-def _silence_s(backend: Backend, now_s: float, told: Told) -> float:
-    """Find how long a run has been silent on evidence that is enough; else 0."""
+def _observed_silence_s(
+    backend: Backend, now_s: float, pooled: PooledSighting
+) -> float:
+    """Return the silence of a run, or 0 if there is too little evidence."""
     own_s = now_s - backend.waits_since_s if backend.waiting else 0.0
-    if len(backend.waiting) >= _LEAST_WAITING:
+    if len(backend.waiting) >= _MIN_WAITING_FLOWS:
         return own_s
-    if told.waiting < _LEAST_WAITING or told.observers < _LEAST_OBSERVERS:
+    if pooled.waiting < _MIN_WAITING_FLOWS or pooled.observers < _MIN_OBSERVERS:
         return 0.0
-    if not backend.waiting and told.domains < _LEAST_DOMAINS:
+    if not backend.waiting and pooled.domains < _MIN_DOMAINS:
         return 0.0
-    silent_s = max(own_s, told.silent_s)
-    # An answer seen here goes before what others have not seen.
+    silent_s = max(own_s, pooled.silent_s)
+    # An answer seen here takes precedence over sightings of others.
     return silent_s if now_s - backend.answered_s >= silent_s else 0.0
 
 
-def _find_answering(
+def _find_recently_answering(
     backend: Backend, runs: Iterable[Backend], now_s: float
 ) -> Backend | None:
-    oldest_s = max(now_s - _RECENT_S, backend.waits_since_s)
-    for one in runs:
-        if one is not backend and one.answered_s > oldest_s:
-            return one
+    oldest_s = max(now_s - _RECENT_ANSWER_S, backend.waits_since_s)
+    for other in runs:
+        if other is not backend and other.answered_s > oldest_s:
+            return other
     return None
--- a/src/agatethread/datapath/_suspects.py
+++ b/src/agatethread/datapath/_suspects.py
@@ -1,69 +1,69 @@
-"""Runs that flows wait for, here or at other instances, and whether they are gone."""
+"""Finds and checks runs that flows wait for at any instance."""
 
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._backends import BackendView
 from agatethread.datapath._flows import FlowLoads
-from agatethread.datapath._sightings import SharedSilence
+from agatethread.datapath._sightings import SightingExchange
 from agatethread.datapath._silence import is_unreachable
 from agatethread.settings import Policies
 
 
 def find_suspects(
-    loads: FlowLoads, view: BackendView, shared: SharedSilence
+    loads: FlowLoads, view: BackendView, shared: SightingExchange
 ) -> set[Backend]:
-    """List the runs that flows wait for, here or as was told elsewhere.
+    """Return the runs that flows wait for, here or at other instances.
 
     Parameters
     ----------
     loads : FlowLoads
-        What was seen here.
+        Flows of this instance.
     view : BackendView
         Known runs.
-    shared : SharedSilence
-        What was told.
+    shared : SightingExchange
+        Sightings of other instances.
 
     Returns
     -------
     set of Backend
-        Those that have not ended.
+        Runs that have not ended.
     """
     suspects = loads.waited_for()
-    told = (view.find(label) for label in shared.labels())
-    suspects.update(backend for backend in told if backend is not None)
+    pooled = (view.find(label) for label in shared.labels())
+    suspects.update(backend for backend in pooled if backend is not None)
     return {backend for backend in suspects if not backend.ended}
 
 
-def judge_suspect(
+def check_suspect(
     backend: Backend,
     view: BackendView,
-    shared: SharedSilence,
+    shared: SightingExchange,
     now_s: float,
-    awake_since_s: float,
+    running_since_s: float,
     policies: Policies,
 ) -> bool:
-    """Decide whether a run is held for gone, and note it if so.
+    """Check a run that flows wait for and mark it if it is unreachable.
 
     Parameters
     ----------
     backend : Backend
-        A run that flows wait for.
+        The run.
     view : BackendView
         Known runs.
-    shared : SharedSilence
-        What other instances see.
+    shared : SightingExchange
+        Sightings of other instances.
     now_s : float
-        Present time.
-    awake_since_s : float
-        Since when this instance has run without a pause.
+        Current time.
+    running_since_s : float
+        Time since which this process has not been suspended.
     policies : Policies
-        How long a silence is enough.
+        Sets the required silence.
 
     Returns
     -------
     bool
-        Whether it is.
+        Whether the run is unreachable by recent evidence.
     """
-    others, told = view.of_service(backend.service), shared.of(backend)
-    if is_unreachable(backend, others, now_s, awake_since_s, told, policies):
-        backend.hold_for_gone(now_s)
+    runs, pooled = view.of_service(backend.service), shared.of(backend)
+    if is_unreachable(backend, runs, now_s, running_since_s, pooled, policies):
+        backend.mark_unreachable(now_s)
     return backend.is_gone(now_s)
--- a/tests/datapath/test_cold.py
+++ b/tests/datapath/test_cold.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from agatethread.datapath import Backend
-from agatethread.datapath._cold import ColdLimits, count_share
+from agatethread.datapath._cold import ColdLimits, compute_share
 from agatethread.datapath._placing import place_flow
 from agatethread.registry import EntryRank
 from agatethread.routing import RouteTable
@@ -23,39 +23,43 @@
     )
     def test_all_shares_together_keep_to_the_limit(self, limit_per_s, number, counts):
         """Also where each of three parts of a fleet takes itself for the whole."""
-        given_out = sum(
-            count_share(limit_per_s, number, EntryRank(rank, count))
+        total = sum(
+            compute_share(limit_per_s, number, EntryRank(rank, count))
             for count in counts
             for rank in range(count)
         )
-        self.assertLessEqual(given_out, limit_per_s)
+        self.assertLessEqual(total, limit_per_s)
 
     def test_shares_differ_between_servers(self):
         """The instances that may send to one server are not those of another."""
-        holders = {
+        senders = {
             number: [
                 rank
                 for rank in range(70)
-                if count_share(5.0, number, EntryRank(rank, 70))
+                if compute_share(5.0, number, EntryRank(rank, 70))
             ]
             for number in range(60)
         }
-        self.assertEqual({len(ranks) for ranks in holders.values()}, {1})
-        self.assertEqual(len({ranks[0] for ranks in holders.values()}), 60)
+        self.assertEqual(
+            {len(sending_ranks) for sending_ranks in senders.values()}, {1}
+        )
+        self.assertEqual(
+            len({sending_ranks[0] for sending_ranks in senders.values()}), 60
+        )
 
     def test_without_a_rank_nothing_is_given(self):
         """An instance that hears no control instance may be one of any number."""
-        self.assertEqual(count_share(100.0, 1, EntryRank(0, 0)), 0)
+        self.assertEqual(compute_share(100.0, 1, EntryRank(0, 0)), 0)
 
 
-class Instance:
+class EntryInstance:
     """An entry instance's own view of some servers."""
 
     def __init__(self, rank, count, backend_count, cold_count, limit):
         self.cold = ColdLimits(OVERSHOOT, SLACK_PER_S)
         self.cold.rank = EntryRank(rank, count)
         self.cold.rates_per_s = {"tab": limit}
-        self.backends = [Backend(run(nth)) for nth in range(1, backend_count + 1)]
+        self.backends = [Backend(run(number)) for number in range(1, backend_count + 1)]
         for backend in self.backends[:cold_count]:
             backend.warm_s = 2.0
 
@@ -68,17 +72,17 @@
         return backend
 
 
-def play(cold_count, rate_per_s, openings_per_s=500, instance_count=70):
+def simulate_openings(cold_count, rate_per_s, openings_per_s=500, instance_count=70):
     """Two seconds on 60 servers; return when each cold one was sent what."""
-    draw = random.Random(1)
+    rng = random.Random(1)
     instances = [
-        Instance(rank, instance_count, 60, cold_count, rate_per_s)
+        EntryInstance(rank, instance_count, 60, cold_count, rate_per_s)
         for rank in range(instance_count)
     ]
     sent, unplaced, now_s = {}, 0, 0.0
     while now_s < 1.99:
-        now_s += draw.expovariate(openings_per_s)
-        backend = draw.choice(instances).place(now_s)
+        now_s += rng.expovariate(openings_per_s)
+        backend = rng.choice(instances).place(now_s)
         if backend is None:
             unplaced += 1
         elif now_s < backend.warm_s:
@@ -86,7 +90,7 @@
     return sent, unplaced
 
 
-def most_in_a_second(times):
+def max_in_sliding_second(times):
     """The fullest sliding second."""
     return max(
         sum(1 for other in times if start <= other < start + 1.0) for start in times
@@ -98,25 +102,25 @@
 
     def test_readmitted_domain_gets_nothing_while_cold(self):
         """A third of 60 servers is cold, and no caller waits for that."""
-        self.assertEqual(play(cold_count=20, rate_per_s=0.0), ({}, 0))
+        self.assertEqual(simulate_openings(cold_count=20, rate_per_s=0.0), ({}, 0))
 
     def test_all_cold_keep_to_their_limit(self):
         """With all cold no sliding second brings one more than it may get."""
         for rate_per_s in (0.0, 20.0):
             with self.subTest(rate_per_s=rate_per_s):
-                sent, unplaced = play(60, rate_per_s)
+                sent, unplaced = simulate_openings(60, rate_per_s)
                 limit_per_s = rate_per_s * OVERSHOOT + SLACK_PER_S
                 # A third of the limit each 1.2 s; chance leaves some of it unused.
-                could_serve = 60 * int(limit_per_s / 3) / 1.2 / 500
-                least_served = 0.7 * min(1.0, could_serve)
-                fullest = max(most_in_a_second(times) for times in sent.values())
-                self.assertLessEqual(fullest, limit_per_s)
+                possible_share = 60 * int(limit_per_s / 3) / 1.2 / 500
+                min_served_share = 0.7 * min(1.0, possible_share)
+                max_count = max(max_in_sliding_second(times) for times in sent.values())
+                self.assertLessEqual(max_count, limit_per_s)
                 served = sum(map(len, sent.values()))
-                self.assertGreater(served / (served + unplaced), least_served)
+                self.assertGreater(served / (served + unplaced), min_served_share)
 
     def test_without_a_limit_cold_servers_take_part(self):
         """Where nothing is told of what they bear they only count as slower."""
-        instance = Instance(0, 1, 3, 3, 0.0)
+        instance = EntryInstance(0, 1, 3, 3, 0.0)
         instance.cold.rates_per_s = {}
         self.assertIsNotNone(instance.place(0.5))
 
@@ -163,8 +167,8 @@
         self.view.take(run(1))
         self.view.take(run(2, failure_domain="b"))
         self.clock.value_s += 10.0
-        self.view.take_evacuations(frozenset({"a"}))
-        self.view.take_evacuations(frozenset())
+        self.view.set_evacuations(frozenset({"a"}))
+        self.view.set_evacuations(frozenset())
         for port in range(10, 20):
             self.assertEqual(self.handle(opening(port)), [("forward", 2)])
         self.clock.value_s += 1.9
--- a/tests/datapath/test_flows.py
+++ b/tests/datapath/test_flows.py
@@ -102,23 +102,25 @@
         loads = FlowLoads(2)
         backends = [Backend(run(1)), Backend(run(2))]
         now_s = 0.0
-        for port, which, what, number in steps:
-            backend = backends[which]
+        for port, index, action, number in steps:
+            backend = backends[index]
             now_s += 0.7
-            if what == "open":
+            if action == "open":
                 loads.open(opening(port).key, backend, now_s)
-            elif what == "data":
+            elif action == "data":
                 sent = packet(port, sequence=number % (1 << 32), payload_bytes=9)
                 loads.note(sent, backend, now_s)
-            elif what == "answer":
+            elif action == "answer":
                 sent = packet(port, acknowledged=number % (1 << 32))
                 loads.note(sent, backend, now_s)
-            elif what == "close":
+            elif action == "close":
                 loads.note(packet(port, closes=True), backend, now_s)
             else:
                 loads.sweep(now_s)
             flows = [flow for flow in loads._flows.values()]
-            for one in backends:
-                mine = [flow for flow in flows if flow.backend is one]
-                self.assertEqual(one.flows, len(mine))
-                self.assertEqual(one.in_flight, sum(flow.busy for flow in mine))
+            for tracked in backends:
+                own_flows = [flow for flow in flows if flow.backend is tracked]
+                self.assertEqual(tracked.flows, len(own_flows))
+                self.assertEqual(
+                    tracked.in_flight, sum(flow.busy for flow in own_flows)
+                )
--- a/tests/datapath/test_forwarder.py
+++ b/tests/datapath/test_forwarder.py
@@ -33,7 +33,7 @@
 
     def test_nothing_is_said_without_knowledge(self):
         """What is not known is dropped in silence: the caller sends it again."""
-        self.knows_all = False
+        self.is_view_complete = False
         self.assertEqual(self.handle(opening()), [])
         self.assertEqual(self.handle(packet(number=5)), [])
         self.view.take(run(1))
@@ -69,10 +69,10 @@
 
     def test_nothing_is_refused_before_all_is_known(self):
         """A service whose runs may not have been told of yet is not refused."""
-        self.knows_all = False
+        self.is_view_complete = False
         self.view.take(run(1, service="archive"))
         self.assertEqual(self.handle(opening()), [])
-        self.knows_all = True
+        self.is_view_complete = True
         self.assertEqual(self.handle(opening()), [("reset", 1)])
 
     def test_port_that_is_used_again_is_another_flow(self):
@@ -130,17 +130,17 @@
         """After a few openings without an answer others get the flows."""
         self.view.take(run(1))
         self.view.take(run(2, failure_domain="b"))
-        dark, chosen = 1, []
+        unresponsive, placements = 1, []
         for port in range(100, 130):
             sent = self.handle(opening(port))
-            if sent == [("forward", dark)]:
+            if sent == [("forward", unresponsive)]:
                 self.clock.value_s += 0.2
                 sent = self.handle(opening(port, copy=1))
             self.handle(packet(port, number=2, acknowledged=500))
             self.handle(packet(port, number=2, acknowledged=900))
-            chosen.append(sent)
+            placements.append(sent)
             self.clock.value_s += 0.01
-        self.assertEqual(chosen, [[("forward", 2)]] * 30)
+        self.assertEqual(placements, [[("forward", 2)]] * 30)
         self.assertLess(self.counters["openings_again"], 6)
 
     def test_two_runs_with_one_label_are_never_mixed_up(self):
--- a/tests/datapath/test_gone.py
+++ b/tests/datapath/test_gone.py
@@ -18,7 +18,7 @@
         self.view.take(run(1))
         self.backend = self.view.find(label_of(1))
         self.clock.value_s += 10.0
-        self.backend.hold_for_gone(self.clock())
+        self.backend.mark_unreachable(self.clock())
 
     def ask(self, port):
         """Hand in the first request that is seen of an open flow."""
@@ -48,5 +48,5 @@
         """A run that is gone indeed is found again by the flows that wait for it."""
         self.clock.value_s += 2.1
         self.assertFalse(self.backend.is_gone(self.clock()))
-        self.backend.hold_for_gone(self.clock())
+        self.backend.mark_unreachable(self.clock())
         self.assertTrue(self.backend.is_gone(self.clock()))
--- a/tests/datapath/test_leaving.py
+++ b/tests/datapath/test_leaving.py
@@ -135,15 +135,15 @@
         for number in range(3):
             entry = Entry(self, number, 3.0 + 1.2 * number)
             self.entries[entry.address] = entry
-        bad = 0
+        violation_count = 0
         while self.clock.value_s < 15:
             self.clock.value_s += 0.05
             for entry in self.entries.values():
                 entry.step()
             rotation = sum(entry.in_rotation for entry in self.entries.values())
             down = any(entry.is_down for entry in self.entries.values())
-            bad += rotation < 1.5 and down
-        self.assertEqual(bad, 0)
+            violation_count += rotation < 1.5 and down
+        self.assertEqual(violation_count, 0)
         for entry in self.entries.values():
             # Out of the routers' choice 4 s after it was told to stop.
             self.assertLess(entry.leaves_s + 1.0 - entry.stop_s, 4.0)
--- a/tests/datapath/test_pacing.py
+++ b/tests/datapath/test_pacing.py
@@ -14,7 +14,7 @@
 LINK_QUEUE_BYTES = 10_000
 
 
-class World:
+class SlowLink:
     """A slow link behind a sender, in simulated time."""
 
     def __init__(self):
@@ -59,71 +59,71 @@
 class TestPacedSender(unittest.TestCase):
     def test_window_of_packets_is_not_dropped(self):
         """Sixteen full packets at once all arrive, in the time that the link needs."""
-        world = World()
+        link = SlowLink()
         for sequence in range(16):
-            world.send(1, sequence, 1_240)
-        world.run_until(2.0)
-        self.assertEqual((world.dropped, len(world.arrivals(1))), (0, 16))
-        self.assertLess(world.arrivals(1)[-1], 0.11)
+            link.send(1, sequence, 1_240)
+        link.run_until(2.0)
+        self.assertEqual((link.dropped, len(link.arrivals(1))), (0, 16))
+        self.assertLess(link.arrivals(1)[-1], 0.11)
 
     def test_unpaced_window_is_dropped(self):
         """The same packets without pacing overflow the link's queue."""
-        world = World()
+        link = SlowLink()
         for _ in range(16):
-            world.transmit(b"x" * 1_240, None)
-        self.assertGreater(world.dropped, 4)
+            link.transmit(b"x" * 1_240, None)
+        self.assertGreater(link.dropped, 4)
 
     def test_request_goes_before_an_upload(self):
         """A short packet waits for one full packet at most."""
-        world = World()
+        link = SlowLink()
         for sequence in range(40):
-            world.send(1, sequence, 1_240)
-        world.send(2, 0, 120)
-        world.run_until(2.0)
-        self.assertLess(world.arrivals(2)[0], 0.03)
+            link.send(1, sequence, 1_240)
+        link.send(2, 0, 120)
+        link.run_until(2.0)
+        self.assertLess(link.arrivals(2)[0], 0.03)
 
     def test_uploads_take_turns(self):
         """A second upload does not wait for the end of the first."""
-        world = World()
+        link = SlowLink()
         for flow in (1, 2):
             for sequence in range(30):
-                world.send(flow, sequence, 1_240)
-        world.run_until(3.0)
-        self.assertLess(world.arrivals(2)[0], 0.05)
-        ends = [world.arrivals(flow)[-1] for flow in (1, 2)]
+                link.send(flow, sequence, 1_240)
+        link.run_until(3.0)
+        self.assertLess(link.arrivals(2)[0], 0.05)
+        ends = [link.arrivals(flow)[-1] for flow in (1, 2)]
         self.assertLess(abs(ends[0] - ends[1]), 0.05)
 
     def test_upload_is_not_starved_by_requests(self):
         """Full packets have their turn among endless short ones."""
-        world = World()
-        world.send(1, 0, 1_240)
+        link = SlowLink()
+        link.send(1, 0, 1_240)
         for step in range(2_000):
-            world.send(2, step, 590)
-            world.send(1, step // 100, 1_240)
-            world.run_until(step * 0.001)
-        self.assertGreater(len(world.arrivals(1)), 5)
+            link.send(2, step, 590)
+            link.send(1, step // 100, 1_240)
+            link.run_until(step * 0.001)
+        self.assertGreater(len(link.arrivals(1)), 5)
 
     def test_copy_of_a_waiting_packet_is_not_queued(self):
         """What the caller sends again while it still waits takes no place."""
-        world = World()
+        link = SlowLink()
         for _ in range(2):
             for sequence in range(30):
-                world.send(1, sequence, 1_240)
-        world.run_until(3.0)
-        self.assertLessEqual(len(world.arrivals(1)), 33)
+                link.send(1, sequence, 1_240)
+        link.run_until(3.0)
+        self.assertLessEqual(len(link.arrivals(1)), 33)
 
     def test_late_packet_is_dropped(self):
         """After a pause of the process nothing old is sent."""
-        world = World()
+        link = SlowLink()
         for sequence in range(16):
-            world.send(1, sequence, 1_240)
-        sent = len(world.delivered)
-        world.clock.value_s = 5.0
-        timers, world.timers = world.timers, []
+            link.send(1, sequence, 1_240)
+        sent = len(link.delivered)
+        link.clock.value_s = 5.0
+        timers, link.timers = link.timers, []
         for _, _, call in timers:
             call()
-        self.assertEqual(len(world.delivered), sent)
-        self.assertEqual(world.sender.waiting_bytes, 0)
+        self.assertEqual(len(link.delivered), sent)
+        self.assertEqual(link.sender.waiting_bytes, 0)
 
     @given(
         st.lists(
@@ -138,21 +138,21 @@
     )
     def test_all_is_sent_or_counted_and_memory_is_bounded(self, steps):
         """Every datagram is sent, or counted as dropped; nothing stays behind."""
-        world = World()
+        link = SlowLink()
         until_s = 0.0
         for flow, sequence, size, pause_s in steps:
-            world.send(flow, sequence, size)
+            link.send(flow, sequence, size)
             until_s += pause_s
-            world.run_until(until_s)
-            self.assertLessEqual(world.sender.waiting_bytes, 256 << 10)
-        world.run_until(until_s + 10.0)
+            link.run_until(until_s)
+            self.assertLessEqual(link.sender.waiting_bytes, 256 << 10)
+        link.run_until(until_s + 10.0)
         counted = sum(
-            world.counters[name]
+            link.counters[name]
             for name in (
                 "paced_copy_dropped",
                 "paced_dropped_full",
                 "paced_dropped_late",
             )
         )
-        sent = len(world.delivered) + world.dropped + counted
-        self.assertEqual((sent, world.sender.waiting_bytes), (len(steps), 0))
+        sent = len(link.delivered) + link.dropped + counted
+        self.assertEqual((sent, link.sender.waiting_bytes), (len(steps), 0))
--- a/tests/datapath/test_readiness.py
+++ b/tests/datapath/test_readiness.py
@@ -14,7 +14,7 @@
             "has_table": True,
             "has_backends": True,
             "is_complete": True,
-            "heard_control_s": 0.0,
+            "last_control_message_s": 0.0,
         }
         self.clock.value_s += after_s
         return self.readiness.check(**(values | fields))
@@ -49,7 +49,7 @@
         self.assertTrue(self.check())
         self.assertFalse(self.check(after_s=5.0))
         self.assertFalse(self.check())
-        self.assertTrue(self.check(heard_control_s=self.clock.value_s))
+        self.assertTrue(self.check(last_control_message_s=self.clock.value_s))
 
     def test_goes_on_after_a_pause_without_control(self):
         """If no control instance answers after a pause it goes on as it is."""
--- a/tests/datapath/test_restarts.py
+++ b/tests/datapath/test_restarts.py
@@ -39,8 +39,8 @@
         self.assertGreater(before.failures + before.flows, 0)
         self.start(2_000)
         (after,) = self.view.of_service("tab")
-        found = (after.failures, after.flows, after.in_flight, len(after.waiting))
-        self.assertEqual(found, (0, 0, 0, 0))
+        state = (after.failures, after.flows, after.in_flight, len(after.waiting))
+        self.assertEqual(state, (0, 0, 0, 0))
         self.assertEqual(after.penalty_until_s, 0.0)
 
     def test_flow_under_the_earlier_label_is_left_to_the_server(self):
@@ -69,18 +69,18 @@
     def test_reporting_is_of_a_start(self):
         """That an earlier start is heard somewhere says nothing of the later one."""
         self.start(2_000)
-        (known,) = self.view.of_service("tab")
+        (backend,) = self.view.of_service("tab")
         self.view.judge(lambda run_id, started_ms: started_ms == 2_000)
-        self.assertTrue(known.reporting)
+        self.assertTrue(backend.reporting)
         self.view.judge(lambda run_id, started_ms: started_ms == 1_000)
-        self.assertFalse(known.reporting)
+        self.assertFalse(backend.reporting)
 
     def test_labels_of_many_starts_are_bounded(self):
         """A server that starts again and again leaves no trail of labels."""
         for started_ms in range(1_000, 1_100):
             self.start(started_ms)
-        known = [ms for ms in range(1_000, 1_100) if self.view.find(self.label(ms))]
-        self.assertEqual(known, list(range(1_091, 1_100)))
+        backend = [ms for ms in range(1_000, 1_100) if self.view.find(self.label(ms))]
+        self.assertEqual(backend, list(range(1_091, 1_100)))
         self.start(1_099, sequence=2, ended=True)
         self.clock.value_s += 61.0
         self.view.judge(lambda *_: True)
--- a/tests/datapath/test_silence.py
+++ b/tests/datapath/test_silence.py
@@ -17,9 +17,9 @@
         self.silent, self.other = Backend(run(1)), Backend(run(2))
         self.silent.answer(10.0)
 
-    def judge(self, now_s, awake_since_s=0.0):
+    def judge(self, now_s, running_since_s=0.0):
         return is_unreachable(
-            self.silent, [self.silent, self.other], now_s, awake_since_s
+            self.silent, [self.silent, self.other], now_s, running_since_s
         )
 
     def wait(self, count=3, since_s=11.0):
@@ -55,7 +55,7 @@
         """What went unanswered while this process stood still says nothing."""
         self.wait()
         self.other.answer(11.9)
-        self.assertFalse(self.judge(12.0, awake_since_s=11.8))
+        self.assertFalse(self.judge(12.0, running_since_s=11.8))
         self.assertFalse(self.judge(12.0))
 
     def test_answer_ends_the_verdict(self):
@@ -80,7 +80,7 @@
         # Placing draws lots among runs with the same load.
         random.seed(seed)
         self.delay_s = delay_s
-        self.order = itertools.count()
+        self.event_ids = itertools.count()
         self.events = []
         self.ports = itertools.count(1)
         self.received = {}
@@ -108,7 +108,7 @@
             self.at(self.random.uniform(0.0, 2.0), self.begin, None)
 
     def at(self, time_s, call, *arguments):
-        heapq.heappush(self.events, (time_s, next(self.order), call, arguments))
+        heapq.heappush(self.events, (time_s, next(self.event_ids), call, arguments))
 
     def judge(self):
         """What an instance's timer does."""
@@ -146,11 +146,11 @@
         number = request[3]
         if number:
             begun = int(request[0] * 1e6)
-            one = packet(port, number, sequence=begun, payload_bytes=80)
-            one = one._replace(acknowledged=self.received.get(port, 0))
+            datagram = packet(port, number, sequence=begun, payload_bytes=80)
+            datagram = datagram._replace(acknowledged=self.received.get(port, 0))
         else:
-            one = opening(port, copy)
-        self.forwarder.on_datagram(one, ())
+            datagram = opening(port, copy)
+        self.forwarder.on_datagram(datagram, ())
         wait_s = (0.2, 0.4, 0.8)[copy]
         self.at(self.clock() + wait_s, self.send, request, copy + 1, port)
 
@@ -187,9 +187,9 @@
         if request[3] or request[1] or port != request[2]:
             return
         request[3] = number
-        one = packet(port, number, sequence=1, acknowledged=0)
+        datagram = packet(port, number, sequence=1, acknowledged=0)
         self.current = None
-        self.forwarder.on_datagram(one, ())
+        self.forwarder.on_datagram(datagram, ())
         self.send(request, 0, port)
 
     def answered(self, request, port):
@@ -200,10 +200,10 @@
         self.in_time += took_s <= 0.12
         self.late += took_s > 0.12
         self.received[port] = int(self.clock() * 1e6)
-        one = packet(port, request[3], sequence=self.received[port])
-        one = one._replace(acknowledged=self.received[port])
+        datagram = packet(port, request[3], sequence=self.received[port])
+        datagram = datagram._replace(acknowledged=self.received[port])
         self.current = None
-        self.forwarder.on_datagram(one, ())
+        self.forwarder.on_datagram(datagram, ())
         pause_s = self.random.uniform(0.5, 3.5)
         self.at(self.clock() + pause_s, self.begin, (request[2], request[3]))
 
@@ -224,7 +224,7 @@
     return 0.5 if number == 3 and now_s >= 10.0 else 0.03
 
 
-def count_failed(seeds):
+def count_failed_requests(seeds):
     """Requests lost to a dead run that callers may not send again, in some plays."""
     plays = [Play(dies_at_10, idempotent=False, seed=seed) for seed in seeds]
     return sum(play.play(20.0).failed for play in plays)
@@ -233,13 +233,13 @@
 class TestPlay(unittest.TestCase):
     def test_callers_of_a_dead_run_are_served_elsewhere(self):
         """Most of its flows' next requests are answered, and most of those in time."""
-        told = Play(dies_at_10).play(20.0)
+        with_resets = Play(dies_at_10).play(20.0)
         with mock.patch("agatethread.datapath._suspects.is_unreachable") as judge:
             judge.return_value = False
-            untold = Play(dies_at_10).play(20.0)
-        self.assertGreater(untold.failed, 12)
-        self.assertLess(told.failed, untold.failed / 2)
-        self.assertGreater(told.in_time, untold.in_time)
+            baseline = Play(dies_at_10).play(20.0)
+        self.assertGreater(baseline.failed, 12)
+        self.assertLess(with_resets.failed, baseline.failed / 2)
+        self.assertGreater(with_resets.in_time, baseline.in_time)
 
     def test_slow_run_keeps_its_flows(self):
         """A run that is slow but answers is never taken for a dead one."""
@@ -253,12 +253,12 @@
 
     def test_idle_flows_of_a_dead_run_end_before_their_next_request(self):
         """Fewer requests that may not be sent again are lost to the dead run."""
-        told = count_failed(seeds=range(1, 5))
-        with mock.patch("agatethread.datapath._forwarder.ends_with_its_run") as ends:
+        with_resets = count_failed_requests(seeds=range(1, 5))
+        with mock.patch("agatethread.datapath._forwarder.should_reset_flow") as ends:
             ends.return_value = False
-            untold = count_failed(seeds=range(1, 5))
-        self.assertGreater(untold, 50)
-        self.assertLess(told, untold * 0.7)
+            baseline = count_failed_requests(seeds=range(1, 5))
+        self.assertGreater(baseline, 50)
+        self.assertLess(with_resets, baseline * 0.7)
 
     def test_all_runs_silent_resets_nothing(self):
         """If nobody answers, the fault may be this instance's own."""
--- a/tests/datapath/worlds.py
+++ b/tests/datapath/worlds.py
@@ -18,13 +18,13 @@
 HOST = 0xC6120001
 
 
-def run(nth=1, **fields):
-    """Backend server number N of the tab service."""
+def run(index=1, **fields):
+    """Return a run of the tab service."""
     values = {
-        "id": f"i-{nth:x}",
-        "number": nth,
+        "id": f"i-{index:x}",
+        "number": index,
         "service": "tab",
-        "address": address(nth),
+        "address": address(index),
         "failure_domain": "a",
         "slots": 2,
         "sequence": 1,
@@ -57,9 +57,9 @@
 #: Hands packets through, and makes tuples in place of datagrams.
 CODEC = PacketCodec(
     decode=lambda data: data,
-    encode_for_backend=lambda one, label, number: ("forward", number, label),
-    encode_reset=lambda one: ("reset", one.key.caller_port),
-    caller_address=lambda one: ("caller", one.key.caller_port),
+    encode_for_backend=lambda datagram, label, number: ("forward", number, label),
+    encode_reset=lambda datagram: ("reset", datagram.key.caller_port),
+    caller_address=lambda datagram: ("caller", datagram.key.caller_port),
 )
 
 
@@ -77,7 +77,7 @@
         self.counters = Counters()
         self.view = BackendView(self.clock, self.counters)
         self.sent = []
-        self.knows_all = True
+        self.is_view_complete = True
         self.forwarder = self.make_forwarder()
         self.forwarder.take_table(table())
 
@@ -90,11 +90,11 @@
             self.clock,
             self.counters,
             flow_limit_count=1_000,
-            knows_all=lambda: self.knows_all,
+            is_view_complete=lambda: self.is_view_complete,
         )
 
-    def handle(self, one):
+    def handle(self, datagram):
         """Hand a packet in; return what was sent."""
         self.sent.clear()
-        self.forwarder.on_datagram(one, ("router", 1))
+        self.forwarder.on_datagram(datagram, ("router", 1))
         return [data[:2] for data, _ in self.sent]
