--- a/tests/datapath/test_cold.py
+++ b/tests/datapath/test_cold.py
@@ -11,7 +11,7 @@
 from agatethread.routing import RouteTable
 from tests.datapath.worlds import ForwarderCase, opening, run, table
 
-#: What a cold server may get in a second, and how: 5 with a rate of 0.
+#: Allow 5 flows per second at a rate of 0.
 OVERSHOOT, SLACK_PER_S = 1.5, 5.0
 
 
@@ -21,8 +21,8 @@
         number=st.integers(0, 2**64 - 1),
         counts=st.lists(st.integers(1, 400), min_size=1, max_size=3),
     )
-    def test_all_shares_together_keep_to_the_limit(self, limit_per_s, number, counts):
-        """Also where each of three parts of a fleet takes itself for the whole."""
+    def test_sum_of_shares_is_within_limit(self, limit_per_s, number, counts):
+        """Holds when three groups of instances each count as the whole."""
         total = sum(
             compute_share(limit_per_s, number, EntryRank(rank, count))
             for count in counts
@@ -30,8 +30,8 @@
         )
         self.assertLessEqual(total, limit_per_s)
 
-    def test_shares_differ_between_servers(self):
-        """The instances that may send to one server are not those of another."""
+    def test_shares_rotate_with_server_number(self):
+        """Different servers get flows from different instances."""
         senders = {
             number: [
                 rank
@@ -47,13 +47,13 @@
             len({sending_ranks[0] for sending_ranks in senders.values()}), 60
         )
 
-    def test_without_a_rank_nothing_is_given(self):
-        """An instance that hears no control instance may be one of any number."""
+    def test_no_share_without_rank(self):
+        """An instance without a control instance has no rank."""
         self.assertEqual(compute_share(100.0, 1, EntryRank(0, 0)), 0)
 
 
 class EntryInstance:
-    """An entry instance's own view of some servers."""
+    """Limits and servers of one entry instance."""
 
     def __init__(self, rank, count, backend_count, cold_count, limit):
         self.cold = ColdLimits(OVERSHOOT, SLACK_PER_S)
@@ -73,7 +73,7 @@
 
 
 def simulate_openings(cold_count, rate_per_s, openings_per_s=500, instance_count=70):
-    """Two seconds on 60 servers; return when each cold one was sent what."""
+    """Return when each cold server was sent flows, and the count of refused ones."""
     rng = random.Random(1)
     instances = [
         EntryInstance(rank, instance_count, 60, cold_count, rate_per_s)
@@ -91,26 +91,26 @@
 
 
 def max_in_sliding_second(times):
-    """The fullest sliding second."""
+    """Return the maximum count in a sliding second."""
     return max(
         sum(1 for other in times if start <= other < start + 1.0) for start in times
     )
 
 
 class TestColdServers(unittest.TestCase):
-    """What cold servers and callers get on a day with 500 new flows a second."""
+    """Placement of 500 new flows per second."""
 
-    def test_readmitted_domain_gets_nothing_while_cold(self):
-        """A third of 60 servers is cold, and no caller waits for that."""
+    def test_cold_servers_get_no_flow_while_others_are_warm(self):
+        """All flows go to the warm servers, and none is refused."""
         self.assertEqual(simulate_openings(cold_count=20, rate_per_s=0.0), ({}, 0))
 
-    def test_all_cold_keep_to_their_limit(self):
-        """With all cold no sliding second brings one more than it may get."""
+    def test_cold_servers_stay_within_limit(self):
+        """No sliding second exceeds the limit if all servers are cold."""
         for rate_per_s in (0.0, 20.0):
             with self.subTest(rate_per_s=rate_per_s):
                 sent, unplaced = simulate_openings(60, rate_per_s)
                 limit_per_s = rate_per_s * OVERSHOOT + SLACK_PER_S
-                # A third of the limit each 1.2 s; chance leaves some of it unused.
+                # Random arrivals leave some of the share unused.
                 possible_share = 60 * int(limit_per_s / 3) / 1.2 / 500
                 min_served_share = 0.7 * min(1.0, possible_share)
                 max_count = max(max_in_sliding_second(times) for times in sent.values())
@@ -118,8 +118,8 @@
                 served = sum(map(len, sent.values()))
                 self.assertGreater(served / (served + unplaced), min_served_share)
 
-    def test_without_a_limit_cold_servers_take_part(self):
-        """Where nothing is told of what they bear they only count as slower."""
+    def test_cold_servers_without_limit_get_flows(self):
+        """A cold server of a service without a rate only has less weight."""
         instance = EntryInstance(0, 1, 3, 3, 0.0)
         instance.cold.rates_per_s = {}
         self.assertIsNotNone(instance.place(0.5))
@@ -132,27 +132,27 @@
         self.forwarder.take_table(limited)
         self.view.take(run(1, warm_up_ms=2_000))
 
-    def test_opening_waits_for_a_server_that_is_nearly_warm(self):
-        """Refused, its caller would be back at once and use up its tries."""
+    def test_drops_opening_if_server_is_warm_soon(self):
+        """A reset would use up the caller's retries too early."""
         self.assertEqual(self.handle(opening()), [])
         self.clock.value_s += 2.1
         self.assertEqual(self.handle(opening(copy=1)), [("forward", 1)])
 
-    def test_opening_does_not_wait_for_a_server_that_is_cold_for_long(self):
-        """No copy of it would come in time, so its caller is told at once."""
+    def test_resets_opening_if_server_stays_cold(self):
+        """No copy of the opening would arrive after the warm-up."""
         self.view.take(run(1, sequence=2, warm_up_ms=10_000))
         self.assertEqual(self.handle(opening()), [("reset", 1)])
         self.clock.value_s += 8.0
         self.assertEqual(self.handle(opening()), [])
 
-    def test_warm_server_takes_what_there_is(self):
-        """With a warm server in sight the cold one gets nothing."""
+    def test_warm_server_gets_all_flows(self):
+        """The cold server gets no flow beside a warm one."""
         self.view.take(run(2))
         for port in range(10, 30):
             self.assertEqual(self.handle(opening(port)), [("forward", 2)])
 
-    def test_server_that_turns_cold_is_spared(self):
-        """It may turn cold while it lives."""
+    def test_running_server_can_become_cold(self):
+        """A later report may start another warm-up."""
         self.clock.value_s += 5.0
         self.assertEqual(self.handle(opening(5)), [("forward", 1)])
         self.view.take(run(1, sequence=2, warm_up_ms=2_000))
@@ -160,8 +160,8 @@
 
 
 class TestReadmission(ForwarderCase):
-    def test_readmitted_servers_count_as_cold_until_they_have_reported(self):
-        """Whether they are is said by their next reports."""
+    def test_readmitted_servers_are_cold_until_reports(self):
+        """They get no flow until a report can have arrived."""
         self.view._readmitted_cold_s = 1.8
         self.forwarder.take_table(RouteTable(2, table().routes, {"tab": 0.0}))
         self.view.take(run(1))
--- a/tests/datapath/test_flows.py
+++ b/tests/datapath/test_flows.py
@@ -15,8 +15,8 @@
     def counts(self):
         return self.backend.flows, self.backend.in_flight
 
-    def test_request_counts_until_its_answer_is_acknowledged(self):
-        """A request is in progress from the caller's bytes to its acknowledgement."""
+    def test_counts_request_until_answer(self):
+        """A request is in progress until its answer is acknowledged."""
         self.loads.open(opening().key, self.backend, 0.0)
         self.assertEqual(self.counts(), (1, 1))
         self.loads.note(packet(acknowledged=1), self.backend, 0.01)
@@ -27,8 +27,8 @@
         self.loads.note(packet(closes=True), self.backend, 0.06)
         self.assertEqual(self.counts(), (0, 0))
 
-    def test_upload_in_progress_is_no_sign_of_silence(self):
-        """Bytes beyond a window show that earlier ones were acknowledged."""
+    def test_upload_does_not_count_as_failure(self):
+        """Bytes beyond a send window show that earlier ones were acknowledged."""
         self.loads.open(opening().key, self.backend, 0.0)
         for number in range(40):
             sent = packet(sequence=number * 1_200, payload_bytes=1_200)
@@ -37,8 +37,8 @@
         self.loads.note(late, self.backend, 0.9)
         self.assertEqual(self.backend.failures, 0)
 
-    def test_window_sent_again_is_one_sign(self):
-        """Sixteen packets of one flow that come again count once."""
+    def test_retransmitted_window_counts_as_one_failure(self):
+        """Sixteen retransmitted packets of a flow count once."""
         self.loads.open(opening().key, self.backend, 0.0)
         self.loads.note(packet(sequence=0), self.backend, 0.01)
         window = [packet(sequence=n * 1_200, payload_bytes=1_200) for n in range(16)]
@@ -48,13 +48,13 @@
             self.loads.note(sent, self.backend, 1.2)
         self.assertEqual(self.backend.failures, 1)
 
-    def test_flow_that_moved_here_is_counted(self):
-        """A flow that was opened through another instance is counted when seen."""
+    def test_counts_flow_that_moved_here(self):
+        """A flow opened through another instance is counted from its first packet."""
         self.loads.note(packet(payload_bytes=80), self.backend, 0.0)
         self.assertEqual(self.counts(), (1, 1))
 
     def test_request_on_a_flow_that_moved_here_is_no_answer(self):
-        """It may be a copy of one that went unanswered through another instance."""
+        """The request may be a copy of one that is unanswered."""
         self.backend.wait("another flow", 0.5)
         self.loads.note(packet(payload_bytes=80), self.backend, 1.0)
         self.assertEqual((self.backend.answered_s, len(self.backend.waiting)), (0.0, 1))
@@ -62,26 +62,26 @@
         self.assertEqual(len(self.backend.waiting), 2)
 
     def test_acknowledgement_on_a_flow_that_moved_here_is_an_answer(self):
-        """Callers send nothing without payload but when something has arrived."""
+        """A packet without payload acknowledges something that was received."""
         self.loads.note(packet(), self.backend, 1.0)
         self.assertEqual(self.backend.answered_s, 1.0)
 
     def test_request_on_a_flow_opened_here_is_an_answer(self):
-        """The opening went through this instance, so it was answered since."""
+        """The caller has received the answer to its opening."""
         self.loads.open(opening().key, self.backend, 1.0)
         self.loads.note(packet(payload_bytes=80), self.backend, 1.1)
         self.assertEqual(self.backend.answered_s, 1.1)
 
-    def test_flow_without_packets_is_dropped(self):
-        """A flow that went on elsewhere is not counted for ever."""
+    def test_sweep_deletes_idle_flow(self):
+        """A flow that continues through another instance is not counted forever."""
         self.loads.open(opening().key, self.backend, 0.0)
         self.loads.sweep(5.0)
         self.assertEqual(self.counts(), (1, 0))
         self.loads.sweep(30.0)
         self.assertEqual((self.counts(), len(self.loads)), ((0, 0), 0))
 
-    def test_number_of_records_is_bounded(self):
-        """More flows than the limit go uncounted, not unserved."""
+    def test_limits_number_of_records(self):
+        """Flows over the limit are not counted."""
         for port in range(500):
             self.loads.open(opening(port).key, self.backend, 0.0)
         self.assertEqual(len(self.loads), 100)
@@ -97,8 +97,8 @@
             max_size=60,
         )
     )
-    def test_counts_equal_what_is_recorded(self, steps):
-        """Whatever comes, counts never drift from the records."""
+    def test_counts_match_records(self, steps):
+        """Counts stay consistent with the records after any sequence of packets."""
         loads = FlowLoads(2)
         backends = [Backend(run(1)), Backend(run(2))]
         now_s = 0.0
--- a/tests/datapath/test_forwarder.py
+++ b/tests/datapath/test_forwarder.py
@@ -6,15 +6,15 @@
 
 
 class TestLabelForwarder(ForwarderCase):
-    def test_opening_goes_to_a_backend_server_of_the_service(self):
-        """A new flow goes to a run of the route's service, under its label."""
+    def test_places_opening_on_run_of_service(self):
+        """A new flow goes to a run of the route's service with its label."""
         self.view.take(run(1, service="archive"))
         self.view.take(run(2))
         self.assertEqual(self.handle(opening()), [("forward", 2)])
         self.assertEqual(self.sent[0][0][2], label_of(2))
 
-    def test_what_leaves_the_failure_domain_is_counted(self):
-        """Packets to backend servers of other domains are counted with their bytes."""
+    def test_counts_packets_to_other_failure_domains(self):
+        """Packets and bytes to other failure domains are counted."""
         self.view.take(run(1))
         self.view.take(run(2, failure_domain="b"))
         self.handle(packet(number=1))
@@ -23,16 +23,16 @@
         self.assertEqual(self.counters["forwarded_away"], 1)
         self.assertEqual(self.counters["forwarded_bytes_away"], len(self.sent[0][0]))
 
-    def test_open_flow_needs_no_memory(self):
-        """An instance that never saw a flow forwards it by its label."""
+    def test_forwards_unrecorded_flow_by_label(self):
+        """Packets of an open flow need no record of the flow."""
         self.view.take(run(1))
         self.view.take(run(2))
         for number in (1, 2, 1):
             sent = self.handle(packet(number=number, caller_port=7))
             self.assertEqual(sent, [("forward", number)])
 
-    def test_nothing_is_said_without_knowledge(self):
-        """What is not known is dropped in silence: the caller sends it again."""
+    def test_drops_packets_without_state(self):
+        """An instance without a table or with an incomplete view sends no reset."""
         self.is_view_complete = False
         self.assertEqual(self.handle(opening()), [])
         self.assertEqual(self.handle(packet(number=5)), [])
@@ -40,14 +40,14 @@
         self.forwarder = self.make_forwarder()
         self.assertEqual(self.handle(opening()), [])
 
-    def test_ended_backend_server_resets_its_flows(self):
-        """A flow whose run is known to have ended is over at once."""
+    def test_resets_flow_of_ended_run(self):
+        """A packet for an ended run is answered with a reset."""
         self.view.take(run(1))
         self.view.take(run(1, ended=True))
         self.assertEqual(self.handle(packet(number=1)), [("reset", 1)])
 
-    def test_silent_backend_server_keeps_its_flows(self):
-        """A run that is not heard of gets no new flow, and no flow is reset."""
+    def test_run_that_stops_reporting_keeps_flows(self):
+        """The run gets no new flow, and its open flows are forwarded."""
         self.view.take(run(1))
         self.view.take(run(2))
         self.view.judge(lambda run_id, _: run_id != "i-1")
@@ -55,28 +55,28 @@
         for port in range(10, 20):
             self.assertEqual(self.handle(opening(port)), [("forward", 2)])
 
-    def test_draining_backend_server_keeps_its_flows(self):
-        """A run that is leaving gets no new flow, and its flows go on."""
+    def test_draining_run_keeps_flows(self):
+        """A draining run gets no new flow, and its open flows are forwarded."""
         self.view.take(run(1, draining=True))
         self.view.take(run(2))
         self.assertEqual(self.handle(packet(number=1)), [("forward", 1)])
         self.assertEqual(self.handle(opening(3)), [("forward", 2)])
 
-    def test_flow_that_nobody_can_take_is_refused_at_once(self):
-        """With every run leaving, a new flow is reset and not left to wait."""
+    def test_resets_opening_if_all_runs_drain(self):
+        """An opening that no run can take is not left to time out."""
         self.view.take(run(1, draining=True))
         self.assertEqual(self.handle(opening()), [("reset", 1)])
 
-    def test_nothing_is_refused_before_all_is_known(self):
-        """A service whose runs may not have been told of yet is not refused."""
+    def test_drops_opening_while_view_is_incomplete(self):
+        """A run that is not known yet may take the opening."""
         self.is_view_complete = False
         self.view.take(run(1, service="archive"))
         self.assertEqual(self.handle(opening()), [])
         self.is_view_complete = True
         self.assertEqual(self.handle(opening()), [("reset", 1)])
 
-    def test_port_that_is_used_again_is_another_flow(self):
-        """A new flow from an old port follows the table of now, not of then."""
+    def test_reused_port_is_new_flow(self):
+        """An opening from a reused port follows the current table."""
         self.view.take(run(1))
         self.view.take(run(2, service="archive"))
         self.handle(opening())
@@ -84,50 +84,50 @@
         self.assertEqual(self.handle(opening(copy=1)), [("forward", 2)])
         self.assertEqual(self.handle(opening()), [("forward", 2)])
 
-    def test_label_of_another_service_is_dropped(self):
-        """A packet never reaches a service that its route does not lead to."""
+    def test_drops_label_of_other_service(self):
+        """A packet never reaches a service that its route does not allow."""
         self.view.take(run(1, service="archive"))
         self.assertEqual(self.handle(packet(number=1)), [])
         self.assertEqual(self.counters["dropped_other_service"], 1)
 
-    def test_change_of_table_leaves_open_flows(self):
-        """A route that moves to another service keeps the flows of the earlier one."""
+    def test_table_change_keeps_open_flows(self):
+        """Flows of the route's earlier service are still forwarded."""
         self.view.take(run(1))
         self.view.take(run(2, service="archive"))
         self.forwarder.take_table(table(2, "archive", earlier=("tab",)))
         self.assertEqual(self.handle(packet(number=1)), [("forward", 1)])
         self.assertEqual(self.handle(opening(3)), [("forward", 2)])
 
-    def test_table_never_goes_back(self):
-        """An older table that comes late is passed over."""
+    def test_ignores_older_table(self):
+        """An older table that arrives late is not applied."""
         self.forwarder.take_table(table(5, "archive"))
         self.forwarder.take_table(table(4))
         self.assertEqual(self.forwarder.table.version, 5)
 
-    def test_dropped_route_takes_no_flow(self):
-        """An opening for an address without a route is refused."""
+    def test_resets_opening_without_route(self):
+        """An opening is reset, and a packet of an open flow dropped."""
         self.view.take(run(1))
         self.forwarder.take_table(table(2, port=444))
         self.assertEqual(self.handle(opening()), [("reset", 1)])
         self.assertEqual(self.handle(packet(number=1)), [])
 
-    def test_copy_of_an_opening_tries_another(self):
-        """Where the first run did not answer, the copy goes to another one."""
+    def test_copy_of_opening_goes_to_another_run(self):
+        """A copy avoids the run that did not answer."""
         self.view.take(run(1))
         self.view.take(run(2))
         first = self.handle(opening())
         self.clock.value_s += 0.2
         self.assertNotEqual(self.handle(opening(copy=1)), first)
 
-    def test_only_backend_server_is_tried_again(self):
+    def test_copy_of_opening_goes_to_only_run(self):
         """A copy goes to the same run if there is no other."""
         self.view.take(run(1))
         self.handle(opening())
         self.clock.value_s += 0.2
         self.assertEqual(self.handle(opening(copy=1)), [("forward", 1)])
 
-    def test_backend_server_that_never_answers_is_avoided(self):
-        """After a few openings without an answer others get the flows."""
+    def test_avoids_run_that_never_answers(self):
+        """After a few unanswered openings other runs get the flows."""
         self.view.take(run(1))
         self.view.take(run(2, failure_domain="b"))
         unresponsive, placements = 1, []
@@ -143,8 +143,8 @@
         self.assertEqual(placements, [[("forward", 2)]] * 30)
         self.assertLess(self.counters["openings_again"], 6)
 
-    def test_two_runs_with_one_label_are_never_mixed_up(self):
-        """Of two runs with the same label only one is used, the same everywhere."""
+    def test_uses_one_of_two_runs_with_same_label(self):
+        """The choice does not depend on the order of messages."""
         for order in ((1, 2), (2, 1)):
             with self.subTest(order=order):
                 self.setUp()
@@ -158,35 +158,37 @@
 
 
 class TestFlowsOfEndedRuns(ForwarderCase):
-    """Callers of a run that has ended are told before they send again."""
+    """Resets of open flows whose run has ended."""
 
     def end_flows(self):
-        """What the timer does; return what was sent."""
+        """Run the timer's call and return the datagrams sent."""
         self.sent.clear()
         self.forwarder.end_flows_of_lost_runs()
         return [data for data, _ in self.sent]
 
-    def test_idle_flow_is_reset_once(self):
-        """The caller's next request goes elsewhere at once."""
+    def test_resets_idle_flow_once(self):
+        """The flow is reset before its caller sends the next request."""
         self.view.take(run(1))
         self.handle(packet(7, number=1))
         self.assertEqual(self.end_flows(), [])
         self.view.take(run(1, ended=True))
         with TestHandler() as handler:
             self.assertEqual(self.end_flows(), [("reset", 7)])
-        (line,) = [one for one in handler.records if one.message == Event.FLOW_RESET]
+        (line,) = [
+            record for record in handler.records if record.message == Event.FLOW_RESET
+        ]
         self.assertEqual(line.kwargs["label"], label_of(1))
         self.assertEqual(self.end_flows(), [])
 
-    def test_flow_that_is_not_open_is_left_alone(self):
-        """Its caller's copies of the opening go to another run by themselves."""
+    def test_does_not_reset_flow_before_it_is_open(self):
+        """Copies of the opening go to another run."""
         self.view.take(run(1))
         self.handle(opening(7))
         self.view.take(run(1, ended=True))
         self.assertEqual(self.end_flows(), [])
 
-    def test_flow_of_a_replaced_start_is_left_to_its_server(self):
-        """A later start of the id may hold it."""
+    def test_does_not_reset_flow_of_replaced_run(self):
+        """The later run of the same id may hold the flow."""
         self.view.take(run(1, started_ms=1_000))
         self.handle(packet(7, label=label_of(1, 1_000)))
         self.view.take(run(1, started_ms=2_000))
--- a/tests/datapath/test_gone.py
+++ b/tests/datapath/test_gone.py
@@ -5,8 +5,8 @@
 from tests.datapath.worlds import ForwarderCase, packet, run, table
 
 
-class TestFlowsOfARunHeldForGone(ForwarderCase):
-    """How long a verdict lasts at an instance that gets few flows of a run."""
+class TestFlowsOfUnreachableRun(ForwarderCase):
+    """Expiry of the unreachable state at an instance with few flows of a run."""
 
     def setUp(self):
         super().setUp()
@@ -21,31 +21,27 @@
         self.backend.mark_unreachable(self.clock())
 
     def ask(self, port):
-        """Hand in the first request that is seen of an open flow."""
+        """Handle the first request seen of an open flow."""
         return self.handle(packet(port, number=1, payload_bytes=10))
 
-    def test_flow_of_a_run_that_is_gone_ends(self):
-        """Its caller sends the request again on another flow."""
+    def test_resets_flow_of_unreachable_run(self):
+        """The caller retries the request on another flow."""
         self.assertEqual(self.ask(5), [("reset", 5)])
 
-    def test_verdict_lapses_without_a_further_sign(self):
-        """A cut has healed, and nobody tried the run here since.
-
-        A flow that moved to such an instance was reset 5.3 s after the end of a cut,
-        though its run had answered it through another one all the while.
-        """
+    def test_unreachable_state_expires_without_new_evidence(self):
+        """Guards against resets of live flows after a cut has healed."""
         self.clock.value_s += 2.1
         self.assertEqual(self.ask(5), [("forward", 1)])
 
-    def test_further_sign_renews_it(self):
-        """While callers go on waiting for it, its flows go on ending."""
+    def test_new_evidence_extends_unreachable_state(self):
+        """Flows are reset while callers keep waiting."""
         for _ in range(4):
             self.clock.value_s += 1.5
             self.backend.fail(self.clock() - 0.2, self.clock())
         self.assertEqual(self.ask(5), [("reset", 5)])
 
-    def test_verdict_that_lapsed_is_reached_again(self):
-        """A run that is gone indeed is found again by the flows that wait for it."""
+    def test_expired_unreachable_state_can_be_set_again(self):
+        """A run that is still unreachable is marked again."""
         self.clock.value_s += 2.1
         self.assertFalse(self.backend.is_gone(self.clock()))
         self.backend.mark_unreachable(self.clock())
--- a/tests/datapath/test_leaving.py
+++ b/tests/datapath/test_leaving.py
@@ -10,8 +10,8 @@
 )
 from tests.fakes import Clock, address
 
-#: As on the platform: from the end of a process until the next one is up, and from
-#: then until routers send to it again.
+#: Times of the platform: from the end of a process to the start of the next one, from
+#: there to ready, and until routers send to it again.
 DOWN_S, READY_S, ROTATION_S = 0.85, 0.1, 0.6
 GRACE_S = 6.0
 
@@ -21,42 +21,42 @@
         self.clock = Clock()
         self.departure = Departure(self.clock, GRACE_S)
 
-    def test_goes_at_once_when_the_others_serve(self):
-        """With all others serving there is nothing to wait for."""
+    def test_leaves_at_once_if_others_serve(self):
+        """There is no wait if no other instance is away."""
         self.assertTrue(self.departure.may_go(DomainView(2, 0, 0)))
 
-    def test_waits_for_one_that_is_away(self):
-        """One of three is away already, so this one waits."""
+    def test_waits_while_another_instance_is_away(self):
+        """One of three instances may be away or ahead at a time."""
         self.assertFalse(self.departure.may_go(DomainView(2, 1, 0)))
         self.assertFalse(self.departure.may_go(DomainView(2, 0, 1)))
 
-    def test_large_domains_spare_more(self):
-        """A quarter of many may be away at a time."""
+    def test_large_domain_allows_more_away(self):
+        """A quarter of the instances may be away at a time."""
         self.assertTrue(self.departure.may_go(DomainView(23, 5, 0)))
         self.assertFalse(self.departure.may_go(DomainView(23, 6, 0)))
 
-    def test_never_waits_for_long(self):
-        """After two seconds it goes, whoever is away: the platform counts on that."""
+    def test_wait_is_limited_by_policy(self):
+        """The instance leaves after two seconds in any case."""
         self.clock.value_s += 1.9
         self.assertFalse(self.departure.may_go(DomainView(2, 2, 0)))
         self.clock.value_s += 0.2
         self.assertTrue(self.departure.may_go(DomainView(2, 2, 0)))
 
-    def test_never_waits_until_it_is_killed(self):
-        """With little time until then, it goes in time for its notice."""
+    def test_wait_is_limited_by_grace_time(self):
+        """The notice and the shutdown fit into the grace time."""
         departure = Departure(self.clock, 2.5)
         self.clock.value_s += 2.5 - 1.2 - 0.8
         self.assertTrue(departure.may_go(DomainView(2, 2, 0)))
 
-    def test_goes_when_nobody_can_be_asked(self):
-        """Without control instances it does not wait for an answer for long."""
+    def test_leaves_without_control_instance(self):
+        """The instance leaves after the timeout of control instances."""
         self.assertFalse(self.departure.may_go(None))
         self.clock.value_s += 0.35
         self.assertTrue(self.departure.may_go(None))
 
 
 class Entry:
-    """An entry instance that restarts once, with the real parts that decide when."""
+    """An entry instance that restarts once, with a real subscription and departure."""
 
     def __init__(self, world, number, stop_s):
         self.world, self.number, self.stop_s = world, number, stop_s
@@ -130,8 +130,8 @@
         if entry is not None and not entry.is_down:
             entry.subscription.on_delta(message.delta, address(90))
 
-    def test_no_packet_goes_to_an_ended_process(self):
-        """Three instances told to stop 1.2 s apart: routers always have two to use."""
+    def test_rolling_restart_keeps_routers_on_ready_instances(self):
+        """Three instances that are stopped 1.2 s apart leave in turn."""
         for number in range(3):
             entry = Entry(self, number, 3.0 + 1.2 * number)
             self.entries[entry.address] = entry
@@ -145,6 +145,6 @@
             violation_count += rotation < 1.5 and down
         self.assertEqual(violation_count, 0)
         for entry in self.entries.values():
-            # Out of the routers' choice 4 s after it was told to stop.
+            # Routers stop sending within 4 s of the stop request.
             self.assertLess(entry.leaves_s + 1.0 - entry.stop_s, 4.0)
             self.assertLess(entry.up_s, 14)
--- a/tests/datapath/test_pacing.py
+++ b/tests/datapath/test_pacing.py
@@ -10,12 +10,12 @@
 from tests.fakes import Clock
 
 LINK_BITS_PER_S = 2e6
-#: What the link's own queue holds: fewer than the 16 packets of a caller's window.
+#: Less than the 16 packets of a caller's send window.
 LINK_QUEUE_BYTES = 10_000
 
 
 class SlowLink:
-    """A slow link behind a sender, in simulated time."""
+    """A simulated slow link behind a paced sender."""
 
     def __init__(self):
         self.clock = Clock(0.0)
@@ -57,8 +57,8 @@
 
 
 class TestPacedSender(unittest.TestCase):
-    def test_window_of_packets_is_not_dropped(self):
-        """Sixteen full packets at once all arrive, in the time that the link needs."""
+    def test_paced_window_arrives(self):
+        """Sixteen full packets at once arrive within the time that the link needs."""
         link = SlowLink()
         for sequence in range(16):
             link.send(1, sequence, 1_240)
@@ -66,14 +66,14 @@
         self.assertEqual((link.dropped, len(link.arrivals(1))), (0, 16))
         self.assertLess(link.arrivals(1)[-1], 0.11)
 
-    def test_unpaced_window_is_dropped(self):
-        """The same packets without pacing overflow the link's queue."""
+    def test_unpaced_window_overflows_link_queue(self):
+        """The same packets without pacing are dropped by the link."""
         link = SlowLink()
         for _ in range(16):
             link.transmit(b"x" * 1_240, None)
         self.assertGreater(link.dropped, 4)
 
-    def test_request_goes_before_an_upload(self):
+    def test_short_packet_goes_before_full_ones(self):
         """A short packet waits for one full packet at most."""
         link = SlowLink()
         for sequence in range(40):
@@ -82,7 +82,7 @@
         link.run_until(2.0)
         self.assertLess(link.arrivals(2)[0], 0.03)
 
-    def test_uploads_take_turns(self):
+    def test_uploads_share_link(self):
         """A second upload does not wait for the end of the first."""
         link = SlowLink()
         for flow in (1, 2):
@@ -93,8 +93,8 @@
         ends = [link.arrivals(flow)[-1] for flow in (1, 2)]
         self.assertLess(abs(ends[0] - ends[1]), 0.05)
 
-    def test_upload_is_not_starved_by_requests(self):
-        """Full packets have their turn among endless short ones."""
+    def test_short_packets_do_not_starve_upload(self):
+        """Full packets are sent among endless short ones."""
         link = SlowLink()
         link.send(1, 0, 1_240)
         for step in range(2_000):
@@ -103,8 +103,8 @@
             link.run_until(step * 0.001)
         self.assertGreater(len(link.arrivals(1)), 5)
 
-    def test_copy_of_a_waiting_packet_is_not_queued(self):
-        """What the caller sends again while it still waits takes no place."""
+    def test_does_not_queue_copy_of_queued_packet(self):
+        """A retransmission of a queued full packet is dropped."""
         link = SlowLink()
         for _ in range(2):
             for sequence in range(30):
@@ -112,8 +112,8 @@
         link.run_until(3.0)
         self.assertLessEqual(len(link.arrivals(1)), 33)
 
-    def test_late_packet_is_dropped(self):
-        """After a pause of the process nothing old is sent."""
+    def test_drops_packet_after_longest_wait(self):
+        """After a suspension of the process no old packet is sent."""
         link = SlowLink()
         for sequence in range(16):
             link.send(1, sequence, 1_240)
@@ -136,8 +136,8 @@
             max_size=80,
         )
     )
-    def test_all_is_sent_or_counted_and_memory_is_bounded(self, steps):
-        """Every datagram is sent, or counted as dropped; nothing stays behind."""
+    def test_datagrams_are_sent_or_counted(self, steps):
+        """Every datagram is sent or counted as dropped, and the queue stays bounded."""
         link = SlowLink()
         until_s = 0.0
         for flow, sequence, size, pause_s in steps:
--- a/tests/datapath/test_policies.py
+++ b/tests/datapath/test_policies.py
@@ -21,7 +21,7 @@
 
 
 def without(name):
-    """All policies but one."""
+    """Return the default policies with one of them off."""
     return switch_off(DEFAULT_POLICIES, name)
 
 
@@ -34,7 +34,7 @@
         return choose_backend(backends, "a", 0.0, policies=without(name))
 
     def test_domain_preference(self):
-        """Without it the less busy one is chosen wherever it is."""
+        """The less busy run is chosen in any failure domain."""
         self.own_domain.in_flight = 1
         chosen = self.choose(
             [self.own_domain, self.other_domain], "domain_preference_count"
@@ -42,7 +42,7 @@
         self.assertIs(chosen, self.other_domain)
 
     def test_cold_factor(self):
-        """Without it a run that has just started is like any other."""
+        """A cold run has the weight of a warm one."""
         warm = Backend(run(3))
         self.own_domain.warm_s, warm.flows = 10.0, 1
         self.assertIs(
@@ -54,7 +54,7 @@
         return place_flow(services, runs.get, "a", 100.0, policies=without(name))
 
     def test_other_services(self):
-        """Without them a service that has nobody left is refused."""
+        """An opening is refused if its service has no usable run."""
         self.other_domain.ended = True
         services = ("archive", "tab")
         self.assertIs(self.place(services, "out_of_sight_s"), self.own_domain)
@@ -62,7 +62,7 @@
         self.assertIsNone(self.place(services, "uses_other_services"))
 
     def test_out_of_sight(self):
-        """Without it a run that stopped to report gets nothing."""
+        """A run that stops reporting gets no flow."""
         self.other_domain.reporting, self.other_domain.silent_since_s = False, 99.0
         self.assertIsNone(self.place(("archive",), "out_of_sight_s"))
         self.assertIs(
@@ -72,7 +72,7 @@
 
 class TestSilenceWithout(ForwarderCase):
     def disable(self, name):
-        """Play with one policy off."""
+        """Replace the forwarder by one with a policy off."""
         self.policies = without(name)
         self.view = BackendView(self.clock, self.counters, self.policies)
         self.forwarder = self.make_forwarder()
@@ -96,7 +96,7 @@
         )
 
     def test_avoidance(self):
-        """Without it a run that does not answer is placed on like any other."""
+        """An unanswered run gets flows like any other."""
         self.disable("longest_avoidance_s")
         backend = Backend(run(1), self.policies)
         for _ in range(3):
@@ -106,7 +106,7 @@
         self.assertLessEqual(backend.penalty_until_s, 2.0)
 
     def test_idle_resets(self):
-        """Without them a flow of an ended run is reset when its next packet comes."""
+        """A flow of an ended run is reset at its next packet."""
         self.disable("resets_idle_flows")
         self.view.take(run(1))
         self.handle(opening(1))
@@ -118,14 +118,14 @@
         self.assertEqual(self.handle(packet(1, 1, payload_bytes=9)), [("reset", 1)])
 
     def test_answer_time(self):
-        """Without it a run that usually answers fast is waited for like any other."""
+        """A run that usually answers fast gets the longest silence."""
         silent, other = Backend(run(1)), Backend(run(2))
         silent.usual_answer_s = 0.02
         other.answer(11.6)
         for number in range(3):
             silent.wait(number, 11.0)
-        reports = PooledSighting(waiting=6, silent_s=0.7, observers=4, domains=2)
-        arguments = (silent, [silent, other], 11.7, 0.0, reports)
+        pooled = PooledSighting(waiting=6, silent_s=0.7, observers=4, domains=2)
+        arguments = (silent, [silent, other], 11.7, 0.0, pooled)
         self.assertTrue(is_unreachable(*arguments))
         off = without("judges_by_answer_time")
         self.assertFalse(is_unreachable(*arguments, policies=off))
@@ -133,13 +133,13 @@
 
 class TestLeavingWithout(unittest.TestCase):
     def test_turns(self):
-        """Without them an instance goes at once, whoever is away."""
+        """An instance leaves at once while others are away."""
         departure = Departure(Clock(), 6.0, without("turn_wait_s"))
         self.assertTrue(departure.may_go(DomainView(2, 2, 0)))
         self.assertTrue(departure.may_go(None))
 
     def test_relearning(self):
-        """Without it an instance that stood still goes on with what it knew."""
+        """A suspended instance continues with its old state."""
         clock = Clock()
         readiness = Readiness(clock, without("relearn_wait_s"))
         complete_state = {"has_table": True, "has_backends": True, "is_complete": True}
@@ -150,7 +150,7 @@
 
 class TestEntryWithout(unittest.IsolatedAsyncioTestCase):
     def make_entry(self, name):
-        """An entry instance with one policy off."""
+        """Return an entry instance with one policy off."""
         return LabelEntryInstance(
             LabelEntrySettings(
                 name="entry",
@@ -173,7 +173,7 @@
         return entry
 
     async def test_sightings(self):
-        """Without them control instances are told nothing of silent runs."""
+        """Control instances get no sightings."""
         for name, is_reported in (("shares_sightings", False), ("keeps_hints", True)):
             entry = await self.start(name)
             reports = []
@@ -185,7 +185,7 @@
                 self.assertEqual(bool(reports), is_reported)
 
     async def test_pacing(self):
-        """Without it more than the link takes goes to the link's own queue."""
+        """Datagrams over the link rate are not queued."""
         entry = await self.start("paces_packets")
         for number in range(200):
             key = packet(number).key
@@ -193,7 +193,7 @@
         self.assertEqual(entry.sender.waiting_bytes, 0)
 
     async def test_urgent_asks(self):
-        """Without them control is asked at each poll only."""
+        """Control instances are polled at the poll interval only."""
         for name, is_urgent in (("asks_urgently", False), ("keeps_hints", True)):
             entry = self.make_entry(name)
             self.addAsyncCleanup(entry.stop)
--- a/tests/datapath/test_sightings.py
+++ b/tests/datapath/test_sightings.py
@@ -5,15 +5,15 @@
 from agatethread.datapath._silence import PooledSighting, is_unreachable
 from agatethread.registry import SightingPool
 from agatethread.wire.registry_pb2 import Sighting, Sightings
-from tests.datapath.test_silence import Play, dies_at_10, slow_from_10
+from tests.datapath.test_silence import Play, crashes_at_10, slow_from_10
 from tests.datapath.worlds import run
 from tests.fakes import Clock
 
 SUFFICIENT_SIGHTING = PooledSighting(waiting=3, silent_s=0.9, observers=2, domains=2)
 
 
-class TestToldOfSilence(unittest.TestCase):
-    """Verdicts that rest on what other instances see."""
+class TestPooledSighting(unittest.TestCase):
+    """Decisions that rest on sightings of other instances."""
 
     def setUp(self):
         self.silent, self.other = Backend(run(1)), Backend(run(2))
@@ -25,45 +25,45 @@
             self.silent, [self.silent, self.other], now_s, running_since_s, pooled
         )
 
-    def test_instance_without_flows_of_its_own_believes_two_domains(self):
-        """Three flows wait at two instances of two failure domains."""
+    def test_two_domains_are_enough_without_own_evidence(self):
+        """Flows wait at two instances of two failure domains."""
         self.assertTrue(self.judge(SUFFICIENT_SIGHTING))
 
-    def test_not_one_instance_alone(self):
-        """One instance's own way may be cut, whatever waits there."""
+    def test_one_observer_or_few_flows_are_not_enough(self):
+        """The fault may be in a single instance."""
         for pooled in (PooledSighting(9, 0.9, 1, 1), PooledSighting(2, 0.9, 2, 2)):
             self.assertFalse(self.judge(pooled))
 
-    def test_one_domain_is_believed_only_beside_own_evidence(self):
-        """What a cut hides from one failure domain others may reach."""
+    def test_one_domain_needs_own_evidence(self):
+        """A run cut off from one failure domain may be reachable from others."""
         pooled = PooledSighting(waiting=3, silent_s=0.9, observers=2, domains=1)
         self.assertFalse(self.judge(pooled))
         self.silent.wait("flow", 11.5)
         self.assertTrue(self.judge(pooled))
 
-    def test_own_answer_goes_before_what_others_see(self):
-        """A run that has answered here lately is not held for gone."""
+    def test_own_answer_overrides_sightings(self):
+        """A run that recently answered here is reachable."""
         self.silent.answer(11.5)
         self.assertFalse(self.judge(SUFFICIENT_SIGHTING))
 
-    def test_not_while_this_instance_stood_still(self):
-        """It may have missed the answers that would speak against it."""
+    def test_reachable_after_suspension(self):
+        """A suspended instance may have missed answers."""
         self.assertFalse(self.judge(SUFFICIENT_SIGHTING, running_since_s=11.5))
 
-    def test_not_before_the_silence_is_long_enough(self):
-        """Much evidence does not make a slow server a dead one."""
+    def test_short_silence_is_not_enough(self):
+        """Strong evidence does not make a slow run unreachable."""
         self.assertFalse(self.judge(PooledSighting(20, 0.5, 7, 3)))
 
-    def test_much_evidence_shortens_the_silence(self):
-        """0.6 s are enough for many instances, if the run is usually quick."""
+    def test_strong_evidence_shortens_required_silence(self):
+        """0.6 s are enough if the run usually answers fast."""
         self.silent.record_answer_time(0.03)
         self.assertTrue(self.judge(PooledSighting(4, 0.65, 3, 2)))
         self.assertFalse(self.judge(PooledSighting(4, 0.55, 3, 2)))
         self.assertFalse(self.judge(PooledSighting(3, 0.65, 3, 2)))
         self.assertFalse(self.judge(PooledSighting(4, 0.65, 2, 2)))
 
-    def test_run_that_is_usually_slow_is_given_its_time(self):
-        """Ten times what it usually takes have to pass."""
+    def test_required_silence_grows_with_usual_answer_time(self):
+        """Ten times the usual answer time is required, within bounds."""
         self.silent.record_answer_time(0.07)
         self.assertFalse(self.judge(PooledSighting(20, 0.65, 7, 3)))
         self.assertTrue(self.judge(PooledSighting(20, 0.75, 7, 3)))
@@ -77,19 +77,19 @@
         self.shared = SightingExchange(self.clock)
         self.backend = Backend(run(1))
 
-    def pooled(self, **fields):
+    def receive(self, **fields):
         values = {"label": self.backend.label, "waiting": 3, "silent_ms": 900}
         self.shared.take(Sightings(runs=[Sighting(**(values | fields))]))
 
-    def test_waiting_flows_are_told(self):
-        """How many, and for how long."""
+    def test_reports_waiting_flows(self):
+        """A sighting has the number of waiting flows and the silence."""
         self.assertEqual(self.shared.observe([self.backend]), [])
         self.backend.wait("flow", 11.5)
         (sighting,) = self.shared.observe([self.backend])
         self.assertEqual((sighting.waiting, sighting.silent_ms), (1, 500))
 
-    def test_end_of_the_wait_is_told(self):
-        """Others must not go on counting what has ended here."""
+    def test_reports_end_of_wait(self):
+        """Other instances stop counting flows that no longer wait here."""
         self.backend.wait("flow", 11.5)
         self.shared.observe([self.backend])
         self.backend.answer(12.0)
@@ -98,8 +98,8 @@
         (sighting,) = self.shared.observe([self.backend])
         self.assertEqual((sighting.waiting, sighting.silent_ms), (0, 100))
 
-    def test_run_that_never_answered_is_told_of_on_any_clock(self):
-        """A monotonic clock may have run for years."""
+    def test_silence_fits_message_field(self):
+        """The monotonic clock may have any start."""
         self.clock.value_s = 1e9
         self.backend.wait("flow", 1e9 - 1)
         self.shared.observe([self.backend])
@@ -107,24 +107,24 @@
         (sighting,) = self.shared.observe([self.backend])
         self.assertEqual((sighting.waiting, sighting.silent_ms), (0, 3_600_000))
 
-    def test_own_verdict_leaves_the_evidence_to_others(self):
-        """What this instance said stays for those that need a moment longer."""
+    def test_does_not_withdraw_report_of_unreachable_run(self):
+        """Other instances may still need the evidence."""
         self.backend.wait("flow", 11.5)
         self.shared.observe([self.backend])
         self.backend.mark_unreachable(12.0)
         self.assertEqual(self.shared.observe([self.backend]), [])
 
-    def test_answer_is_told_where_others_wait(self):
-        """An instance that was answered lately contradicts those that wait."""
+    def test_reports_answer_while_others_wait(self):
+        """A recent answer here contradicts the sightings of other instances."""
         self.backend.answer(11.8)
         self.assertEqual(self.shared.observe([self.backend]), [])
-        self.pooled()
+        self.receive()
         (sighting,) = self.shared.observe([self.backend])
         self.assertEqual((sighting.waiting, sighting.silent_ms), (0, 200))
 
-    def test_what_is_not_said_again_is_not_believed(self):
-        """Old news of silence ends no flow, and takes no memory."""
-        self.pooled()
+    def test_received_sighting_expires(self):
+        """Expired sightings are ignored and deleted."""
+        self.receive()
         self.assertEqual(self.shared.of(self.backend).waiting, 3)
         self.assertEqual(self.shared.labels(), [self.backend.label])
         self.clock.value_s += 0.7
@@ -133,7 +133,7 @@
 
 
 class Fleet:
-    """Seven entry instances in three failure domains, each with some flows."""
+    """Seven entry instances in three failure domains, each with simulated callers."""
 
     def __init__(self, delay_s, is_shared, seed=1, idempotent=False):
         self.plays = [
@@ -154,7 +154,7 @@
         return self
 
     def move_flows(self):
-        """Send every flow to an instance that has not seen it, as after a restart."""
+        """Move every flow to an instance without a record of it."""
         for play in self.plays:
             forwarder = play.forwarder
             forwarder.loads = FlowLoads(10_000)
@@ -177,28 +177,26 @@
 
 
 class TestFleet(unittest.TestCase):
-    def test_fewer_requests_are_lost_to_a_dead_run(self):
-        """Instances that tell each other lose fewer requests than those that don't."""
+    def test_sharing_sightings_reduces_failed_requests(self):
+        """Fewer requests to a crashed run fail if instances share sightings."""
         seeds = range(1, 4)
         failed_alone = sum(
-            Fleet(dies_at_10, False, n).play(20.0).sum("failed") for n in seeds
+            Fleet(crashes_at_10, False, n).play(20.0).sum("failed") for n in seeds
+        )
+        failed_shared = sum(
+            Fleet(crashes_at_10, True, n).play(20.0).sum("failed") for n in seeds
         )
-        pooled = sum(Fleet(dies_at_10, True, n).play(20.0).sum("failed") for n in seeds)
         self.assertGreater(failed_alone, 30)
-        self.assertLess(pooled, failed_alone * 0.75)
-
-    def test_flows_that_move_do_not_hide_a_dead_run(self):
-        """Copies that arrive at another instance say nothing of the run's life.
+        self.assertLess(failed_shared, failed_alone * 0.75)
 
-        All flows move 0.4 s after the death. Of 7,300 requests 65 failed while a copy
-        was taken for an answer, and 11 since it is not.
-        """
-        fleets = [Fleet(dies_at_10, True, n, idempotent=True) for n in range(1, 7)]
+    def test_moved_flows_do_not_hide_crashed_run(self):
+        """Copies of requests on moved flows do not count as answers."""
+        fleets = [Fleet(crashes_at_10, True, n, idempotent=True) for n in range(1, 7)]
         failed = sum(fleet.play(20.0, 10.4).sum("failed") for fleet in fleets)
         self.assertLess(failed, 30)
 
     def test_slow_run_keeps_its_flows(self):
-        """However many instances wait for it, one that answers somebody is alive."""
+        """A run that answers some callers stays reachable."""
         for seed in range(1, 4):
             fleet = Fleet(slow_from_10, True, seed).play(20.0)
             self.assertEqual(fleet.sum("resets"), 0)
--- a/tests/datapath/test_silence.py
+++ b/tests/datapath/test_silence.py
@@ -26,40 +26,40 @@
         for number in range(count):
             self.silent.wait(number, since_s)
 
-    def test_run_that_answers_nobody_while_others_answer(self):
+    def test_silent_run_is_unreachable_if_others_answer(self):
         """Three flows wait for a second, and another run has just answered."""
         self.wait()
         self.other.answer(11.9)
         self.assertTrue(self.judge(12.0))
 
-    def test_not_by_one_caller(self):
-        """One caller may have lost its packets on its own way."""
+    def test_two_waiting_flows_are_not_enough(self):
+        """Packets may be lost on the path of a single caller."""
         self.wait(count=2)
         self.other.answer(11.9)
         self.assertFalse(self.judge(12.0))
 
-    def test_not_at_once(self):
-        """A server may take some hundred milliseconds."""
+    def test_short_silence_is_not_enough(self):
+        """A run may take some hundred milliseconds to answer."""
         self.wait()
         self.other.answer(11.4)
         self.assertFalse(self.judge(11.5))
 
-    def test_not_if_nobody_answers(self):
-        """If no run answers, this instance's own way is as likely the cause."""
+    def test_reachable_if_no_run_answers(self):
+        """The fault may be in this instance."""
         self.wait()
         self.assertFalse(self.judge(12.0))
         self.other.answer(10.5)
         self.assertFalse(self.judge(12.0))
 
-    def test_not_after_a_pause_of_this_instance(self):
-        """What went unanswered while this process stood still says nothing."""
+    def test_reachable_after_suspension(self):
+        """Answers missed while the process was suspended are no evidence."""
         self.wait()
         self.other.answer(11.9)
         self.assertFalse(self.judge(12.0, running_since_s=11.8))
         self.assertFalse(self.judge(12.0))
 
-    def test_answer_ends_the_verdict(self):
-        """One answer to anybody, and its flows are forwarded again."""
+    def test_answer_makes_run_reachable(self):
+        """One answer clears the unreachable state and the waiting flows."""
         self.silent.unreachable = True
         self.wait()
         self.silent.answer(12.0)
@@ -68,16 +68,16 @@
 
 
 class Play:
-    """Long flows with a request now and then, through a real forwarder.
+    """Simulation of callers with long flows through a real forwarder.
 
-    Answers reach their callers directly, as on the platform; `delay_s` tells how long a
-    run takes at a time, or None while it answers nothing.
+    Answers bypass the forwarder, as on the platform. `delay_s` returns the answer time
+    of a run at a time, or None if it does not answer.
     """
 
     def __init__(self, delay_s, idempotent=True, flows=120, seed=1):
         self.clock = Clock(0.0)
         self.random = random.Random(seed)
-        # Placing draws lots among runs with the same load.
+        # Placing chooses randomly among runs with the same load.
         random.seed(seed)
         self.delay_s = delay_s
         self.event_ids = itertools.count()
@@ -85,7 +85,7 @@
         self.ports = itertools.count(1)
         self.received = {}
         self.in_time = self.late = self.failed = self.resets = 0
-        #: Requests in progress by their flow's port, and flows that were reset.
+        #: Requests in progress by port, and ports of flows that were reset.
         self.pending, self.closed = {}, set()
         self.busy_resets = 0
         view = BackendView(self.clock, Counters())
@@ -111,7 +111,7 @@
         heapq.heappush(self.events, (time_s, next(self.event_ids), call, arguments))
 
     def judge(self):
-        """What an instance's timer does."""
+        """Run the timer's calls of an entry instance."""
         self.current = None
         self.forwarder.tick()
         self.forwarder.end_flows_of_lost_runs()
@@ -127,11 +127,11 @@
             call(*arguments)
         return self
 
-    # A request is a list: [begun, answered, flow's port, run's number or 0]. What a
-    # caller has received of a flow is kept by its port.
+    # A request is a list: [start time, is answered, port of its flow, number of its run
+    # or 0]. `received` holds the last acknowledged sequence number by port.
 
     def begin(self, flow):
-        """Begin a request, on its long flow or on a new one."""
+        """Begin a request on its long flow or on a new one."""
         if flow and flow[0] in self.closed:
             flow = None
         request = [self.clock(), False, *(flow or (next(self.ports), 0))]
@@ -160,7 +160,7 @@
             return
         request = self.current
         if request is None:
-            # An acknowledgement, which nobody answers.
+            # An acknowledgement, which has no answer.
             return
         number = data[1]
         delay_s = self.delay_s(number, self.clock())
@@ -172,7 +172,7 @@
             self.at(self.clock() + delay_s, self.answered, request, request[2])
 
     def reset(self, port):
-        """A caller's flow is over; its request, if there is one, goes to another."""
+        """Close a flow and send its pending request on a new one."""
         self.resets += 1
         self.closed.add(port)
         request = self.pending.pop(port, None)
@@ -214,45 +214,45 @@
             self.at(self.clock() + self.random.uniform(0.5, 3.5), self.begin, None)
 
 
-def dies_at_10(number, now_s):
-    """Run 3 is gone for good after ten seconds; label_of keeps the numbers apart."""
+def crashes_at_10(number, now_s):
+    """Return the answer time, or None for run 3 from 10 s on."""
     return None if number == 3 and now_s >= 10.0 else 0.03
 
 
 def slow_from_10(number, now_s):
-    """Run 3 takes half a second for each request, but it lives."""
+    """Return the answer time, which is 0.5 s for run 3 from 10 s on."""
     return 0.5 if number == 3 and now_s >= 10.0 else 0.03
 
 
 def count_failed_requests(seeds):
-    """Requests lost to a dead run that callers may not send again, in some plays."""
-    plays = [Play(dies_at_10, idempotent=False, seed=seed) for seed in seeds]
+    """Return the failed requests to a crashed run without retries by callers."""
+    plays = [Play(crashes_at_10, idempotent=False, seed=seed) for seed in seeds]
     return sum(play.play(20.0).failed for play in plays)
 
 
 class TestPlay(unittest.TestCase):
-    def test_callers_of_a_dead_run_are_served_elsewhere(self):
-        """Most of its flows' next requests are answered, and most of those in time."""
-        with_resets = Play(dies_at_10).play(20.0)
+    def test_resets_reduce_failed_requests(self):
+        """Most requests on flows of a crashed run are answered by other runs."""
+        with_resets = Play(crashes_at_10).play(20.0)
         with mock.patch("agatethread.datapath._suspects.is_unreachable") as judge:
             judge.return_value = False
-            baseline = Play(dies_at_10).play(20.0)
+            baseline = Play(crashes_at_10).play(20.0)
         self.assertGreater(baseline.failed, 12)
         self.assertLess(with_resets.failed, baseline.failed / 2)
         self.assertGreater(with_resets.in_time, baseline.in_time)
 
     def test_slow_run_keeps_its_flows(self):
-        """A run that is slow but answers is never taken for a dead one."""
+        """A run that is slow but answers is reachable."""
         self.assertEqual(Play(slow_from_10).play(20.0).resets, 0)
 
-    def test_other_routes_wait_for_a_late_answer(self):
-        """Where requests may not be sent again, no flow that has one is reset."""
-        play = Play(dies_at_10, idempotent=False).play(20.0)
+    def test_busy_flows_are_not_reset_if_not_idempotent(self):
+        """Only idle flows are reset if requests can't be retried."""
+        play = Play(crashes_at_10, idempotent=False).play(20.0)
         self.assertEqual(play.busy_resets, 0)
         self.assertGreater(play.resets, 0)
 
-    def test_idle_flows_of_a_dead_run_end_before_their_next_request(self):
-        """Fewer requests that may not be sent again are lost to the dead run."""
+    def test_resets_of_idle_flows_reduce_failed_requests(self):
+        """Fewer requests fail that callers can't retry."""
         with_resets = count_failed_requests(seeds=range(1, 5))
         with mock.patch("agatethread.datapath._forwarder.should_reset_flow") as ends:
             ends.return_value = False
@@ -260,11 +260,11 @@
         self.assertGreater(baseline, 50)
         self.assertLess(with_resets, baseline * 0.7)
 
-    def test_all_runs_silent_resets_nothing(self):
-        """If nobody answers, the fault may be this instance's own."""
+    def test_no_reset_if_all_runs_are_silent(self):
+        """The fault may be in this instance."""
         play = Play(lambda number, now_s: None if now_s >= 10.0 else 0.03).play(20.0)
         self.assertEqual(play.resets, 0)
 
-    def test_labels_of_the_play_differ(self):
-        """The play needs seven labels."""
+    def test_labels_differ(self):
+        """The simulation needs seven distinct labels."""
         self.assertEqual(len({label_of(number) for number in range(1, 8)}), 7)
--- a/tests/datapath/worlds.py
+++ b/tests/datapath/worlds.py
@@ -1,4 +1,4 @@
-"""Packets and backend servers for the tests of the data path."""
+"""Packets, runs and a forwarder for tests of the data path."""
 
 import unittest
 
@@ -33,7 +33,7 @@
 
 
 def packet(caller_port=1, number=0, **fields):
-    """Packet of a flow; for an open one `number` names its backend server."""
+    """Return a packet of a flow; `number` is the run of an open flow."""
     values = {
         "label": label_of(number) if number else 0,
         "key": FlowKey(1, caller_port, HOST, 443),
@@ -50,27 +50,27 @@
 
 
 def opening(caller_port=1, copy=0, **fields):
-    """The first packet of a flow, or a copy of it."""
+    """Return the first packet of a flow, or a copy of it."""
     return packet(caller_port, opens=True, copy=copy, acknowledged=copy, **fields)
 
 
-#: Hands packets through, and makes tuples in place of datagrams.
+#: Decodes nothing, and encodes tuples in place of datagrams.
 CODEC = PacketCodec(
     decode=lambda data: data,
-    encode_for_backend=lambda datagram, label, number: ("forward", number, label),
-    encode_reset=lambda datagram: ("reset", datagram.key.caller_port),
-    caller_address=lambda datagram: ("caller", datagram.key.caller_port),
+    encode_for_backend=lambda decoded, label, number: ("forward", number, label),
+    encode_reset=lambda decoded: ("reset", decoded.key.caller_port),
+    caller_address=lambda decoded: ("caller", decoded.key.caller_port),
 )
 
 
 def table(version=1, service="tab", earlier=(), port=443):
-    """A table with one route."""
+    """Return a routing table with one route."""
     route = Route((Target(service, 1),), frozenset((service, *earlier)))
     return RouteTable(version, {(HOST, port): route})
 
 
 class ForwarderCase(unittest.TestCase):
-    """One forwarder, what it sends, and a clock."""
+    """A forwarder with a clock; records what it sends."""
 
     def setUp(self):
         self.clock = Clock()
@@ -94,7 +94,7 @@
         )
 
     def handle(self, datagram):
-        """Hand a packet in; return what was sent."""
+        """Handle a packet and return the datagrams sent."""
         self.sent.clear()
         self.forwarder.on_datagram(datagram, ("router", 1))
         return [data[:2] for data, _ in self.sent]
