--- a/src/agatethread/membership/_members.py
+++ b/src/agatethread/membership/_members.py
@@ -1,4 +1,4 @@
-"""Table of entry instances as this one sees them, and the ranking drawn from it."""
+"""Table of the known entry instances, and their ranking as dispatchers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -6,14 +6,14 @@
 from agatethread.membership._ring import HashRing
 from agatethread.wire import MemberRef, MemberState, MemberUpdate
 
-#: Members that a change is told to, as a multiple of log2 of their number.
+#: Datagrams that a change is sent with, as a multiple of log2 of the member count.
 _GOSSIP_FACTOR = 3
 _DISPATCHING_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One entry instance in one state."""
+    """State of one entry instance."""
 
     name: str
     failure_domain: str
@@ -25,16 +25,16 @@
 
     @property
     def ref(self) -> MemberRef:
-        """Reference to this run of the instance."""
+        """Reference to this incarnation of the instance."""
         return MemberRef(self.address, self.incarnation)
 
     @property
     def precedence(self) -> tuple[int, int, int, bool]:
-        """Order in which news about one instance replaces older news."""
+        """Order of the states of one instance; the highest replaces the others."""
         return self.incarnation, self.counter, self.state, not self.joining
 
     def to_update(self) -> MemberUpdate:
-        """Make the message that tells of this state.
+        """Return the message that holds this state.
 
         Returns
         -------
@@ -53,7 +53,7 @@
 
 
 def member_from_update(update: MemberUpdate) -> Member:
-    """Read a member's state from a message.
+    """Return the member state that a message holds.
 
     Parameters
     ----------
@@ -77,27 +77,27 @@
 
 
 class MemberTable:
-    """Known instances; news is taken in any order and the newest state wins.
+    """Known instances; updates are applied in any order, the newest state wins.
 
     Parameters
     ----------
-    me : Member
+    own_member : Member
         This instance.
     """
 
-    def __init__(self, me: Member):
-        self.me = me
-        self.members: dict[str, Member] = {me.name: me}
-        self._by_ref: dict[MemberRef, Member] = {me.ref: me}
+    def __init__(self, own_member: Member):
+        self.me = own_member
+        self.members: dict[str, Member] = {own_member.name: own_member}
+        self._by_ref: dict[MemberRef, Member] = {own_member.ref: own_member}
         self._gossip: dict[str, int] = {}
         self._listeners: list[Callable[[Member], None]] = []
-        self._warm = HashRing()
-        self._joining = HashRing()
-        self._update_rings(me)
-        self._queue_gossip(me.name)
+        self._joined_ring = HashRing()
+        self._joining_ring = HashRing()
+        self._update_rings(own_member)
+        self._queue_gossip(own_member.name)
 
     def subscribe(self, listener: Callable[[Member], None]) -> None:
-        """Be told of each change.
+        """Register a listener for all changes.
 
         Parameters
         ----------
@@ -107,12 +107,12 @@
         self._listeners.append(listener)
 
     def apply(self, member: Member) -> bool:
-        """Take news about a member.
+        """Store the state of a member if it is newer than the known one.
 
         Parameters
         ----------
         member : Member
-            A state told by another instance or seen here.
+            A state received from another instance or detected by this one.
 
         Returns
         -------
@@ -122,15 +122,15 @@
         if member.name == self.me.name:
             return self._refute(member)
 
-        known = self.members.get(member.name)
-        if known is not None and member.precedence <= known.precedence:
+        current = self.members.get(member.name)
+        if current is not None and member.precedence <= current.precedence:
             return False
 
         self._store(member)
         return True
 
     def change_me(self, **changes: object) -> None:
-        """Change this instance's own state and tell the others.
+        """Change this instance's own state and queue it for gossip.
 
         Parameters
         ----------
@@ -141,7 +141,7 @@
         self._store(replace(self.me, counter=counter, **changes))
 
     def suspect(self, member: Member) -> None:
-        """Mark a member that did not answer a probe.
+        """Mark a member as suspected after it did not answer a probe.
 
         Parameters
         ----------
@@ -152,12 +152,12 @@
             self.apply(replace(member, state=MemberState.SUSPECT))
 
     def declare_dead(self, member: Member) -> None:
-        """Mark a member dead, unless there has been news of it since.
+        """Mark a member as dead, unless its state has changed since.
 
         Parameters
         ----------
         member : Member
-            The state that the judgement rests on.
+            The state that the decision is based on.
         """
         if self.members.get(member.name) == member:
             self.apply(replace(member, state=MemberState.DEAD))
@@ -166,8 +166,8 @@
         if member.precedence <= self.me.precedence:
             return False
 
-        # A higher incarnation of our own name means that our clock went back
-        # between two runs; ours must be the newest all the same.
+        # A higher incarnation of the own name means that the clock was set back
+        # between two starts; the present incarnation must be the highest.
         if member.incarnation > self.me.incarnation:
             self.change_me(incarnation=member.incarnation + 1)
             return True
@@ -177,9 +177,9 @@
         return True
 
     def _store(self, member: Member) -> None:
-        old = self.members.get(member.name)
-        if old is not None:
-            self._by_ref.pop(old.ref, None)
+        previous = self.members.get(member.name)
+        if previous is not None:
+            self._by_ref.pop(previous.ref, None)
         self.members[member.name] = member
         self._by_ref[member.ref] = member
         if member.name == self.me.name:
@@ -190,23 +190,23 @@
             listener(member)
 
     def is_alive(self, ref: MemberRef) -> bool:
-        """Tell whether one run of an instance is not known to have ended.
+        """Return whether an incarnation of an instance is known and not dead.
 
         Parameters
         ----------
         ref : MemberRef
-            The run.
+            The incarnation.
 
         Returns
         -------
         bool
-            False also for runs never heard of.
+            False also for unknown incarnations.
         """
         member = self._by_ref.get(ref)
         return member is not None and member.state != MemberState.DEAD
 
     def live(self) -> list[Member]:
-        """List the instances that are not dead, this one among them.
+        """Return the instances that are not dead, including this one.
 
         Returns
         -------
@@ -216,7 +216,7 @@
         return [m for m in self.members.values() if m.state != MemberState.DEAD]
 
     def live_peers(self) -> list[Member]:
-        """List the other instances that are not dead.
+        """Return the other instances that are not dead.
 
         Returns
         -------
@@ -226,7 +226,7 @@
         return [member for member in self.live() if member.name != self.me.name]
 
     def dead(self) -> list[Member]:
-        """List the instances that are dead as far as known.
+        """Return the instances that are known to be dead.
 
         Returns
         -------
@@ -236,7 +236,7 @@
         return [m for m in self.members.values() if m.state == MemberState.DEAD]
 
     def sees_domain(self, failure_domain: str) -> bool:
-        """Tell whether any live instance of a failure domain is in sight.
+        """Return whether a failure domain has an instance that is not dead.
 
         Parameters
         ----------
@@ -246,30 +246,33 @@
         Returns
         -------
         bool
-            False when it is cut off from here, or empty.
+            False if it is unreachable or empty.
         """
         return any(member.failure_domain == failure_domain for member in self.live())
 
     def rank(self, service: int, count: int = 2) -> tuple[Member, ...]:
-        """Rank the instances that may dispatch for a service.
+        """Return the instances that may dispatch for a service, by rank.
 
         Parameters
         ----------
         service : int
             Hash of the service's name.
         count : int, default=2
-            How many to name.
+            Most instances to return.
 
         Returns
         -------
         tuple of Member
-            The dispatcher, its standby, and on; empty when none may dispatch.
+            The dispatcher, its standby, and so on; empty if none may dispatch. Joining
+            instances are ranked only if there are no others.
         """
-        names = self._warm.find(service, count) or self._joining.find(service, count)
+        names = self._joined_ring.find_owners(
+            service, count
+        ) or self._joining_ring.find_owners(service, count)
         return tuple(self.members[name] for name in names)
 
     def is_dispatcher(self, service: int) -> bool:
-        """Tell whether this instance dispatches for a service now.
+        """Return whether this instance dispatches for a service now.
 
         Parameters
         ----------
@@ -279,7 +282,7 @@
         Returns
         -------
         bool
-            As this instance sees the fleet.
+            According to this instance's table.
         """
         ranked = self.rank(service, 1)
         return bool(ranked) and ranked[0].name == self.me.name
@@ -287,11 +290,11 @@
     def _update_rings(self, member: Member) -> None:
         may_dispatch = member.state in _DISPATCHING_STATES
         rings = (
-            (self._warm, may_dispatch and not member.joining),
-            (self._joining, may_dispatch and member.joining),
+            (self._joined_ring, may_dispatch and not member.joining),
+            (self._joining_ring, may_dispatch and member.joining),
         )
-        for ring, belongs in rings:
-            if belongs:
+        for ring, is_part in rings:
+            if is_part:
                 ring.add(member.name)
             else:
                 ring.remove(member.name)
@@ -300,22 +303,22 @@
         self._gossip[name] = _GOSSIP_FACTOR * max(1, len(self.members).bit_length())
 
     def take_gossip(self, limit: int) -> list[MemberUpdate]:
-        """Take the news that goes with the next datagram.
+        """Return the updates for the next datagram, and count each as sent once.
 
         Parameters
         ----------
         limit : int
-            Most updates to take.
+            Most updates to return.
 
         Returns
         -------
         list of MemberUpdate
-            The least told first.
+            The least often sent first.
         """
         names = sorted(self._gossip, key=self._gossip.__getitem__, reverse=True)
-        taken = names[:limit]
-        for name in taken:
+        chosen = names[:limit]
+        for name in chosen:
             self._gossip[name] -= 1
             if not self._gossip[name]:
                 del self._gossip[name]
-        return [self.members[name].to_update() for name in taken]
+        return [self.members[name].to_update() for name in chosen]
--- a/src/agatethread/membership/_prober.py
+++ b/src/agatethread/membership/_prober.py
@@ -11,12 +11,12 @@
 from agatethread.timing import TimerService
 from agatethread.wire import Ack, MemberState, MemberUpdate, Peer, Ping
 
-_UPDATES_IN_DATAGRAM = 6
-#: Updates in the answer to a join: fits one datagram.
-_UPDATES_IN_JOIN = 16
-_INDIRECT_COUNT = 2
+_MAX_UPDATES = 6
+#: Updates in the reply to a join, which fits one datagram.
+_MAX_JOIN_UPDATES = 16
+_INDIRECT_PROBE_COUNT = 2
 _REJOIN_INTERVAL_S = 0.5
-_LONGEST_GAP_S = 0.8
+_MAX_OVERSLEEP_S = 0.8
 
 Send = Callable[[bytes, Peer], None]
 
@@ -24,12 +24,12 @@
 
 
 class Prober(Service):
-    """Probes one other instance each interval, so that cost is free of fleet size.
+    """Probes one other instance each interval, at a cost independent of fleet size.
 
     Parameters
     ----------
     table : MemberTable
-        What is known of the fleet.
+        The known instances.
     timers : TimerService
         Drives the probes.
     send : callable
@@ -37,9 +37,9 @@
     seeds : list of bytes
         Packed addresses to join through.
     interval_s, suspicion_s : float
-        Time between probes, and from suspicion to death.
+        Time between probes, and from suspicion to declaring a member dead.
     counters : Counters
-        Counts probes and verdicts.
+        Counts failed probes.
     """
 
     def __init__(
@@ -61,7 +61,8 @@
         self._suspicion_s = suspicion_s
         self._counters = counters
         self._sequence = 0
-        self._waiting: dict[int, asyncio.Future[None]] = {}
+        self._pending_probes: dict[int, asyncio.Future[None]] = {}
+        #: Names of the members left to probe in this round.
         self._round: list[str] = []
         self._random = random.Random(table.me.incarnation)
         table.subscribe(self._on_change)
@@ -83,7 +84,7 @@
         self._send(address, Peer(ping=ping))
 
     def tell_all(self) -> None:
-        """Tell a change of this instance's own state to everyone at once."""
+        """Send this instance's own state to all other instances at once."""
         for member in self._table.live_peers():
             ping = self._new_ping()
             ping.updates.append(self._table.me.to_update())
@@ -91,17 +92,17 @@
 
     def _new_ping(self) -> Ping:
         self._sequence += 1
-        updates = self._table.take_gossip(_UPDATES_IN_DATAGRAM)
+        updates = self._table.take_gossip(_MAX_UPDATES)
         return Ping(sequence=self._sequence, updates=updates)
 
     def _rejoin(self) -> None:
-        # A healed cut is found by asking instances thought dead; both sides of it
-        # learn all there is from one exchange. A seed that is no member yet was not
-        # listening when this instance started, and nobody else may know of it: groups
-        # that started apart would stay apart.
+        # The end of a network partition is detected by joining through dead members;
+        # one exchange merges the tables of both sides. A seed that is not a member was
+        # unreachable when this instance started, and no other member may know it, so
+        # groups that started separately join through it.
         candidates = [member.address for member in self._table.dead()]
-        known = {member.address for member in self._table.members.values()}
-        candidates += [seed for seed in self._seeds if seed not in known]
+        member_addresses = {member.address for member in self._table.members.values()}
+        candidates += [seed for seed in self._seeds if seed not in member_addresses]
         if candidates:
             self._send_join(self._random.choice(candidates))
 
@@ -127,11 +128,11 @@
 
         helpers = [m for m in self._table.live_peers() if m.name != target.name]
         self._random.shuffle(helpers)
-        asked = [
+        indirect_probes = [
             self._ping(helper.address, Ping(target=target.address))
-            for helper in helpers[:_INDIRECT_COUNT]
+            for helper in helpers[:_INDIRECT_PROBE_COUNT]
         ]
-        if any(await asyncio.gather(*asked)):
+        if any(await asyncio.gather(*indirect_probes)):
             return
 
         self._counters["probe_failed"] += 1
@@ -141,46 +142,46 @@
 
     async def _ping(self, address: bytes, ping: Ping) -> bool:
         ping.MergeFrom(self._new_ping())
-        answered = asyncio.get_running_loop().create_future()
-        self._waiting[ping.sequence] = answered
+        acknowledged = asyncio.get_running_loop().create_future()
+        self._pending_probes[ping.sequence] = acknowledged
         self._send(address, Peer(ping=ping))
         try:
-            await asyncio.wait_for(answered, self._interval_s)
+            await asyncio.wait_for(acknowledged, self._interval_s)
         except TimeoutError:
             return False
         finally:
-            self._waiting.pop(ping.sequence, None)
+            self._pending_probes.pop(ping.sequence, None)
         return True
 
     def on_ping(self, sender: bytes, ping: Ping) -> None:
-        """Answer a probe, or probe on behalf of another instance.
+        """Acknowledge a probe, or probe on behalf of another instance.
 
         Parameters
         ----------
         sender : bytes
-            Packed address to answer to.
+            Packed address of the sender, which gets the acknowledgement.
         ping : Ping
             The probe.
         """
-        self._take(ping.updates)
+        self._apply_updates(ping.updates)
         if ping.target:
             self.add_future(self._probe_for(sender, ping))
             return
 
-        self._send(sender, Peer(ack=self._answer(ping)))
+        self._send(sender, Peer(ack=self._make_ack(ping)))
 
-    def _answer(self, ping: Ping) -> Ack:
+    def _make_ack(self, ping: Ping) -> Ack:
         if not ping.join:
-            updates = self._table.take_gossip(_UPDATES_IN_DATAGRAM)
+            updates = self._table.take_gossip(_MAX_UPDATES)
             return Ack(sequence=ping.sequence, updates=updates)
 
-        # The one who joins hears first of itself, so that it can refute its death.
+        # The joining instance's own state comes first, so that it can refute its death.
         names = [update.name for update in ping.updates]
         others = [name for name in self._table.members if name not in names]
         self._random.shuffle(others)
         chosen = [name for name in names if name in self._table.members] + others
         updates = [
-            self._table.members[name].to_update() for name in chosen[:_UPDATES_IN_JOIN]
+            self._table.members[name].to_update() for name in chosen[:_MAX_JOIN_UPDATES]
         ]
         return Ack(sequence=ping.sequence, updates=updates)
 
@@ -189,19 +190,19 @@
             self._send(sender, Peer(ack=Ack(sequence=ping.sequence)))
 
     def on_ack(self, ack: Ack) -> None:
-        """Take the answer to a probe.
+        """Apply the updates of an acknowledgement and complete its probe.
 
         Parameters
         ----------
         ack : Ack
-            The answer.
+            The acknowledgement.
         """
-        self._take(ack.updates)
-        answered = self._waiting.get(ack.sequence)
-        if answered is not None and not answered.done():
-            answered.set_result(None)
+        self._apply_updates(ack.updates)
+        acknowledged = self._pending_probes.get(ack.sequence)
+        if acknowledged is not None and not acknowledged.done():
+            acknowledged.set_result(None)
 
-    def _take(self, updates: list[MemberUpdate]) -> None:
+    def _apply_updates(self, updates: list[MemberUpdate]) -> None:
         for update in updates:
             self._table.apply(member_from_update(update))
 
@@ -218,11 +219,11 @@
             self.add_future(self._await_refutation(member))
 
     async def _await_refutation(self, member: Member) -> None:
-        # A sleep that took much longer means that this process was stopped and has
-        # not read yet what the member may have answered.
+        # After a much longer sleep this process was suspended, and may not have read
+        # the member's refutation yet.
         while True:
             started_s = self._timers.now_s()
             await asyncio.sleep(self._suspicion_s)
-            if self._timers.now_s() - started_s < self._suspicion_s + _LONGEST_GAP_S:
+            if self._timers.now_s() - started_s < self._suspicion_s + _MAX_OVERSLEEP_S:
                 break
         self._table.declare_dead(member)
--- a/src/agatethread/membership/_ring.py
+++ b/src/agatethread/membership/_ring.py
@@ -1,31 +1,31 @@
-"""Consistent hashing of services onto instances (Karger et al., STOC 1997)."""
+"""Consistent hashing of services to instances (Karger et al., STOC 1997)."""
 
 from array import array
 from bisect import bisect_left
 
 from xxhash import xxh64_intdigest
 
-#: Points of each instance; more would share the services out more evenly.
-_POINTS_EACH = 16
-#: From this many changes on, sorting anew costs less than inserting.
-_REBUILD_COUNT = 64
+#: More points distribute the services more evenly, and make changes slower.
+_POINTS_PER_INSTANCE = 16
+#: From this number of changes on, a rebuild costs less than single insertions.
+_REBUILD_MIN_CHANGES = 64
 
 
 class HashRing:
-    """Points of the instances that may dispatch, in order around a circle.
+    """Hash ring of the instances that may dispatch.
 
-    A look-up is a binary search and a change moves a few points, so that neither grows
-    noticeably with the fleet.
+    A look-up is a binary search and a change moves a few points, so the cost of both
+    depends little on the size of the fleet.
     """
 
     def __init__(self) -> None:
         self._names: set[str] = set()
         self._points = array("Q")
         self._owners: list[str] = []
-        self._pending: dict[str, bool] = {}
+        self._pending_changes: dict[str, bool] = {}
 
     def __len__(self) -> int:
-        self._settle()
+        self._apply_changes()
         return len(self._names)
 
     def add(self, name: str) -> None:
@@ -36,7 +36,7 @@
         name : str
             Its name; adding it again does nothing.
         """
-        self._pending[name] = True
+        self._pending_changes[name] = True
 
     def remove(self, name: str) -> None:
         """Remove an instance.
@@ -46,28 +46,28 @@
         name : str
             Its name; removing it again does nothing.
         """
-        self._pending[name] = False
+        self._pending_changes[name] = False
 
-    def _settle(self) -> None:
-        if not self._pending:
+    def _apply_changes(self) -> None:
+        if not self._pending_changes:
             return
         changed = {
             name: present
-            for name, present in self._pending.items()
+            for name, present in self._pending_changes.items()
             if present != (name in self._names)
         }
-        self._pending.clear()
+        self._pending_changes.clear()
         self._names ^= changed.keys()
-        if len(changed) >= _REBUILD_COUNT:
+        if len(changed) >= _REBUILD_MIN_CHANGES:
             self._rebuild()
             return
         for name, present in changed.items():
-            for point in _points_of(name):
+            for point in _compute_points(name):
                 self._change_point(point, name, present)
 
     def _rebuild(self) -> None:
         pairs = sorted(
-            (point, name) for name in self._names for point in _points_of(name)
+            (point, name) for name in self._names for point in _compute_points(name)
         )
         self._points = array("Q", (point for point, _ in pairs))
         self._owners = [name for _, name in pairs]
@@ -83,33 +83,35 @@
         del self._points[position]
         del self._owners[position]
 
-    def find(self, key: int, count: int) -> list[str]:
-        """Find the first instances from a place on.
+    def find_owners(self, key: int, count: int) -> list[str]:
+        """Return the first instances at or after a position on the ring.
 
         Parameters
         ----------
         key : int
-            64 bits, the place.
+            64 bits, the position.
         count : int
-            How many different ones.
+            Number of different instances.
 
         Returns
         -------
         list of str
-            Their names; fewer if there are not as many.
+            Their names; fewer if the ring has fewer instances.
         """
-        self._settle()
-        wanted = min(count, len(self._names))
-        found: list[str] = []
+        self._apply_changes()
+        limit = min(count, len(self._names))
+        names: list[str] = []
         position = bisect_left(self._points, key)
-        while len(found) < wanted:
+        while len(names) < limit:
             name = self._owners[position % len(self._owners)]
-            if name not in found:
-                found.append(name)
+            if name not in names:
+                names.append(name)
             position += 1
-        return found
+        return names
 
 
-def _points_of(name: str) -> list[int]:
+def _compute_points(name: str) -> list[int]:
     encoded = name.encode()
-    return [xxh64_intdigest(encoded, seed=number) for number in range(_POINTS_EACH)]
+    return [
+        xxh64_intdigest(encoded, seed=number) for number in range(_POINTS_PER_INSTANCE)
+    ]
--- a/src/agatethread/registry/__init__.py
+++ b/src/agatethread/registry/__init__.py
@@ -1,4 +1,4 @@
-"""Backend servers as they report themselves, told to every entry instance."""
+"""Registry of backend servers: stores their reports, sends them to entry instances."""
 
 from agatethread.registry._dispatchers import DispatcherDirectory, merge_dispatchers
 from agatethread.registry._evacuations import EvacuationPublisher, KnownEvacuations
--- a/src/agatethread/registry/_admission.py
+++ b/src/agatethread/registry/_admission.py
@@ -1,23 +1,23 @@
-"""Decides whether a status report counts, and whether it starts a new run.
+"""Decides whether a status report is accepted, and whether it starts a new run.
 
-A backend server may start again at once under the id that it had, at its address or
-another, and reports of both starts arrive in any order, through any control instance.
-So a run is named by its id and the time of its start, and what is known of an id only
-moves forward: by start time, then by sequence number.
+A backend server may restart at once under the same id, at the same address or another,
+and reports of both runs arrive in any order, through any control instance. A run is
+therefore identified by its id and start time, and the state of an id only moves
+forward: by start time, then by sequence number.
 
 ==========================  =================================================
-The report's start time is  Outcome
+Start time of the report    Outcome
 ==========================  =================================================
-the known one               taken if its sequence number is higher
-later                       the earlier run is over, the new one is taken
-earlier                     stale, however high its sequence number
+that of the known run       accepted if its sequence number is higher
+later                       the earlier run is over, the new one is accepted
+earlier                     stale, whatever its sequence number
 missing                     refused where the id is known with a start time, or
-                            most live runs tell their own: backend servers tell
-                            it all or none; otherwise a time before all others
+                            most live runs report theirs: backend servers all
+                            report it or none does; otherwise older than any
 ==========================  =================================================
 
-Start times are read from the backend servers' own clocks. A clock that was set back
-between two starts keeps the second one out until the first is forgotten.
+Start times come from the backend servers' own clocks. If a clock is set back between
+two starts, the second run is refused until the first is deleted.
 """
 
 from dataclasses import dataclass
@@ -26,14 +26,13 @@
 from agatethread.registry._report import START_NOT_TOLD, Report
 from agatethread.wire.registry_pb2 import BackendRun
 
-#: How long a run is remembered that has ended or fallen silent, so that a late report
-#: can't revive or displace anything. Longer than a report can be under way, and than
-#: the flows of a run live.
+#: How long an ended or silent run is stored, so that a late report can't revive or
+#: replace a run. Longer than a report can be delayed, and than the flows of a run live.
 KEPT_S = 180.0
 
 
 class Verdict(Enum):
-    """What becomes of a report; the value is the reason in logs and errors."""
+    """Outcome of checking a report; the value is the reason in logs and errors."""
 
     CONTINUES = "a later report of a known run"
     STARTS = "the first report of a run"
@@ -46,7 +45,7 @@
 
     @property
     def is_refusal(self) -> bool:
-        """Whether the report can't come from a backend server of ours."""
+        """Whether the sender can't be a backend server of this deployment."""
         return self in (
             Verdict.CONTRADICTS,
             Verdict.UNKNOWN_SERVICE,
@@ -56,63 +55,65 @@
 
 @dataclass(frozen=True, slots=True)
 class Known:
-    """A run that a report is held against.
+    """A run that a report is compared with.
 
     Attributes
     ----------
     run : BackendRun
         Its state.
-    heard_ago_s : float
+    last_report_age_s : float
         Time since its last report, or since its end.
     """
 
     run: BackendRun
-    heard_ago_s: float
+    last_report_age_s: float
 
 
 def judge_report(
     report: Report,
-    known: Known | None,
-    holder: Known | None,
-    namesake: BackendRun | None,
-    held_s: float,
+    known_run: Known | None,
+    address_holder: Known | None,
+    same_number_run: BackendRun | None,
+    holder_timeout_s: float,
 ) -> Verdict:
-    """Decide what a report tells.
+    """Return whether a report is accepted, and as what.
 
     Parameters
     ----------
     report : Report
         The report.
-    known : Known or None
+    known_run : Known or None
         The newest known run of its id.
-    holder : Known or None
+    address_holder : Known or None
         Another id's run that holds its address.
-    namesake : BackendRun or None
+    same_number_run : BackendRun or None
         A run of another id with the same number, which datagrams can't tell apart.
-    held_s : float
-        Time since its last report after which a holder gives way to a run of which it
-        is not known whether it started later.
+    holder_timeout_s : float
+        Time since its last report after which a holder releases its address to a run
+        when it is unknown which of them started later.
 
     Returns
     -------
     Verdict
-        What becomes of it.
+        The outcome.
     """
-    if known is not None:
-        verdict = _compare(report, known)
+    if known_run is not None:
+        verdict = _compare_with_known(report, known_run)
         if verdict is not Verdict.STARTS:
             return verdict
-    if namesake is not None and is_live(namesake):
+    if same_number_run is not None and is_live(same_number_run):
         return Verdict.CONTRADICTS
-    if holder is not None and not _gives_way(holder, report, held_s):
+    if address_holder is not None and not _releases_address(
+        address_holder, report, holder_timeout_s
+    ):
         return Verdict.ADDRESS_HELD
     return Verdict.STARTS
 
 
-def _compare(report: Report, known: Known) -> Verdict:
-    run = known.run
+def _compare_with_known(report: Report, known_run: Known) -> Verdict:
+    run = known_run.run
     if report.started_ms < run.started_ms:
-        if known.heard_ago_s >= KEPT_S:
+        if known_run.last_report_age_s >= KEPT_S:
             return Verdict.STARTS
         if report.started_ms == START_NOT_TOLD:
             return Verdict.CONTRADICTS
@@ -122,7 +123,7 @@
         return Verdict.CONTRADICTS if changes_service else Verdict.STARTS
     if run.ended:
         return Verdict.OVERTAKEN
-    if _is_other_place(report, run):
+    if _fixed_fields_differ(report, run):
         return Verdict.CONTRADICTS
     if report.sequence <= run.sequence:
         return Verdict.OVERTAKEN
@@ -130,7 +131,7 @@
 
 
 def is_live(run: BackendRun) -> bool:
-    """Tell whether a run may be at work.
+    """Return whether a run may be serving.
 
     Parameters
     ----------
@@ -140,41 +141,41 @@
     Returns
     -------
     bool
-        Whether it has neither ended nor fallen silent.
+        Whether it has neither ended nor become silent.
     """
     return not (run.ended or run.silent)
 
 
-def _is_other_place(report: Report, run: BackendRun) -> bool:
-    """Tell whether what can't change within a run differs."""
-    said = (report.service, report.address, report.failure_domain)
-    return said != (run.service, run.address, run.failure_domain)
+def _fixed_fields_differ(report: Report, run: BackendRun) -> bool:
+    """Return whether a field differs that can't change within a run."""
+    reported = (report.service, report.address, report.failure_domain)
+    return reported != (run.service, run.address, run.failure_domain)
 
 
-def _gives_way(holder: Known, report: Report, held_s: float) -> bool:
-    if holder.heard_ago_s >= KEPT_S:
+def _releases_address(holder: Known, report: Report, holder_timeout_s: float) -> bool:
+    if holder.last_report_age_s >= KEPT_S:
         return True
     starts = (report.started_ms, holder.run.started_ms)
     if START_NOT_TOLD not in starts and starts[0] != starts[1]:
-        # Two runs can't share an address: the one that started first is gone.
+        # Two runs can't share an address: the one that started first has ended.
         return starts[0] > starts[1]
-    # The one that is heard regularly lives; a report of the other was delayed, and if
-    # not, its next one decides.
-    return holder.heard_ago_s >= held_s
+    # The run that reports regularly is live. A report of the other run was delayed;
+    # if it was not, the next one is accepted after the timeout.
+    return holder.last_report_age_s >= holder_timeout_s
 
 
 def end_is_of(run: BackendRun, started_ms: int) -> bool:
-    """Decide whether a word that an id's run has ended means the known run.
+    """Return whether an end reported for an id applies to the known run.
 
-    Said without a start time it may be late and mean an earlier run. A backend server
-    asks for no further work before it says that it ends, so it means a run that did.
+    Without a start time it may be late and refer to an earlier run. A backend server
+    drains before it ends, so it then applies only to a draining run.
 
     Parameters
     ----------
     run : BackendRun
         The newest known run of the id.
     started_ms : int
-        Start time of the run that has ended; `START_NOT_TOLD` if it was not said.
+        Start time of the run that has ended; `START_NOT_TOLD` if it was not reported.
 
     Returns
     -------
--- a/src/agatethread/registry/_answers.py
+++ b/src/agatethread/registry/_answers.py
@@ -1,10 +1,9 @@
-"""Puts together what entry instances see of the answers of each run.
+"""Sums up the answers of each run as seen by entry instances.
 
-The load that this answers: a backend server answers a dozen requests a second, seen by
-as many entry instances, each of which would need ten seconds to tell a slow server from
-a slow request. The control instance that they report to has them within 0.2 s. Entry
-instances of one failure domain report to one control instance, so control instances
-tell each other of the runs that one of them has doubts about, and of no others.
+Handles a backend server whose answers are spread over many entry instances, each of
+which sees too few to tell a slow server from a slow request. The control instance that
+they report to sees all of them. Entry instances of one failure domain report to one
+control instance, so control instances exchange sums, of doubtful runs only.
 """
 
 from collections import Counter, deque
@@ -21,38 +20,38 @@
     PooledAnswers,
 )
 
-#: What was seen within this time counts: some twenty answers of a server under usual
-#: load, two of one that gets trials only.
+#: Answers seen within this time count. Long enough for a run under usual load to give
+#: several, and for one that gets only trial requests to give more than one.
 WINDOW_S = 2.0
-#: Its newest part, two reports of each entry instance: a server that turned slow is to
-#: be found out within half a second or so, and not by the answers from before.
+#: The newest part of the window, two reports of each entry instance, so that a run that
+#: became slow is detected without the answers from before.
 RECENT_S = 0.4
-#: What another control instance told is used for so long: two of its messages may be
-#: lost, which come each 0.2 s.
-_PEER_KEPT_S = 0.7
-#: Entry instances that report are told of weights for so long after they did last.
-_REPORTER_KEPT_S = 2.0
-#: A run is told to other control instances from so many bad answers, and such a share
-#: of them, on: one is a tail.
-_DOUBT_BAD = 2
-_DOUBT_SHARE = 0.2
-#: Answers of a failure domain from which on it counts among those that reach a run.
-_DOMAIN_ANSWERS = 3
-#: An entry instance that sees so many answers, such a share of them bad, and at so many
-#: runs, is slow itself or cut off from its callers; what it says counts for nobody.
-_OWN_FAULT_ANSWERS = 6
-_OWN_FAULT_SHARE = 0.6
-_OWN_FAULT_RUNS = 3
-#: Where nothing was decided, no answer is fresher than others.
-NOTHING_FRESH: Mapping[int, float] = MappingProxyType({})
-#: Runs told to another control instance at a time, the worst first: 650 bytes.
-_MOST_TOLD = 32
-
-
-class _Told(NamedTuple):
-    """What one entry instance said of a run at a time."""
-
-    at_s: float
+#: Sums of other control instances are used for this time, which covers the loss of two
+#: consecutive messages.
+_PEER_RETENTION_S = 0.7
+#: Entry instances receive weights for this time after their last report.
+_REPORTER_RETENTION_S = 2.0
+#: A run is doubtful, and sent to other control instances, from this number and this
+#: share of bad answers on: a single one may be an outlier.
+_DOUBT_BAD_ANSWERS = 2
+_DOUBT_BAD_SHARE = 0.2
+#: Answers from which on a failure domain counts among those that reach a run.
+_DOMAIN_MIN_ANSWERS = 3
+#: An entry instance with this many answers, this share of them bad, and bad ones from
+#: this many runs is slow itself or cut off from its callers; its reports are ignored.
+_FAULTY_SOURCE_MIN_ANSWERS = 6
+_FAULTY_SOURCE_BAD_SHARE = 0.6
+_FAULTY_SOURCE_MIN_RUNS = 3
+#: Used where no run was judged: no answer is fresh.
+NO_FRESH_TIMES: Mapping[int, float] = MappingProxyType({})
+#: Runs in one message to a control instance, so that it fits one datagram.
+_MAX_POOLED_RUNS = 32
+
+
+class _SourceReport(NamedTuple):
+    """What one entry instance reported of a run at a time."""
+
+    received_s: float
     source: bytes
     failure_domain: str
     answers: int
@@ -61,15 +60,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _FromPeer:
-    at_s: float
+class _PeerSums:
+    received_s: float
     failure_domain: str
     by_label: dict[int, PooledAnswer]
 
 
 @dataclass(frozen=True, slots=True)
-class _Sums:
-    """What the entry instances that report here saw of a run."""
+class _RunSums:
+    """What the entry instances that report to this instance saw of a run."""
 
     whole: AnswerCounts
     recent: AnswerCounts
@@ -80,24 +79,23 @@
     by_domain: dict[str, tuple[int, int]]
 
 
-#: They saw nothing.
-_NO_SUMS = _Sums(NO_ANSWERS, NO_ANSWERS, NO_ANSWERS, 0, 0, {})
+_EMPTY_SUMS = _RunSums(NO_ANSWERS, NO_ANSWERS, NO_ANSWERS, 0, 0, {})
 
 
 class AnswerPool:
-    """What entry instances, and other control instances, said lately."""
+    """Recent reports of entry instances, and sums of other control instances."""
 
     def __init__(self) -> None:
-        self._told: dict[int, deque[_Told]] = {}
-        self._peers: dict[bytes, _FromPeer] = {}
+        self._reports: dict[int, deque[_SourceReport]] = {}
+        self._peers: dict[bytes, _PeerSums] = {}
         self._reporters: dict[bytes, float] = {}
-        #: What was put together last of what is reported here.
-        self._own: dict[int, _Sums] = {}
+        #: Latest sums of the reports to this instance, by label.
+        self._own_sums: dict[int, _RunSums] = {}
 
-    def take(
+    def add_report(
         self, source: bytes, failure_domain: str, sums: AnswerSums, now_s: float
     ) -> None:
-        """Take what an entry instance saw since it said so last.
+        """Store what an entry instance saw since its previous report.
 
         Parameters
         ----------
@@ -111,28 +109,28 @@
             Present time.
         """
         self._reporters[source] = now_s
-        for one in sums.runs:
-            counts = (one.answers, one.slow, one.failed)
-            told = _Told(now_s, source, failure_domain, *counts)
-            self._told.setdefault(one.label, deque()).append(told)
+        for run in sums.runs:
+            counts = (run.answers, run.slow, run.failed)
+            report = _SourceReport(now_s, source, failure_domain, *counts)
+            self._reports.setdefault(run.label, deque()).append(report)
 
-    def take_pooled(self, source: bytes, pooled: PooledAnswers, now_s: float) -> None:
-        """Take what another control instance has put together.
+    def store_pooled(self, source: bytes, pooled: PooledAnswers, now_s: float) -> None:
+        """Store the sums of another control instance.
 
         Parameters
         ----------
         source : bytes
             Its packed address.
         pooled : PooledAnswers
-            Its message, in place of the one before.
+            Its message, which replaces the previous one.
         now_s : float
             Present time.
         """
-        by_label = {one.label: one for one in pooled.runs}
-        self._peers[source] = _FromPeer(now_s, pooled.failure_domain, by_label)
+        by_label = {answer.label: answer for answer in pooled.runs}
+        self._peers[source] = _PeerSums(now_s, pooled.failure_domain, by_label)
 
-    def reporters(self, now_s: float) -> list[bytes]:
-        """List the entry instances that report here.
+    def list_reporters(self, now_s: float) -> list[bytes]:
+        """Return the entry instances that report to this instance.
 
         Parameters
         ----------
@@ -144,56 +142,60 @@
         list of bytes
             Their packed addresses.
         """
-        oldest_s = now_s - _REPORTER_KEPT_S
+        oldest_s = now_s - _REPORTER_RETENTION_S
         self._reporters = {
-            source: at_s for source, at_s in self._reporters.items() if at_s > oldest_s
+            source: reported_s
+            for source, reported_s in self._reporters.items()
+            if reported_s > oldest_s
         }
         return list(self._reporters)
 
-    def evidence(
-        self, now_s: float, fresh_from_s: Mapping[int, float] = NOTHING_FRESH
+    def collect_evidence(
+        self, now_s: float, fresh_from_s: Mapping[int, float] = NO_FRESH_TIMES
     ) -> dict[int, Evidence]:
-        """Sum up what is known of each run.
+        """Return the sums over all sources of each run.
 
         Parameters
         ----------
         fresh_from_s : mapping of int to float, optional
-            From when on answers are fresh, by label.
+            Time after which answers are fresh, by label.
         now_s : float
             Present time.
 
         Returns
         -------
         dict of int to Evidence
-            By label; runs of which nothing was seen are left out.
+            By label; runs without answers are left out.
         """
-        self._drop_old(now_s)
-        at_fault = _find_at_fault(self._told.values())
-        self._own = {
-            label: _sum_up(
-                told, at_fault, now_s - RECENT_S, fresh_from_s.get(label, inf)
+        self._delete_expired(now_s)
+        faulty_sources = _find_faulty_sources(self._reports.values())
+        self._own_sums = {
+            label: _sum_reports(
+                reports, faulty_sources, now_s - RECENT_S, fresh_from_s.get(label, inf)
             )
-            for label, told in self._told.items()
+            for label, reports in self._reports.items()
         }
-        labels = set(self._own)
+        labels = set(self._own_sums)
         for peer in self._peers.values():
             labels.update(peer.by_label)
         return {label: self._merge(label) for label in labels}
 
-    def _drop_old(self, now_s: float) -> None:
+    def _delete_expired(self, now_s: float) -> None:
         oldest_s = now_s - WINDOW_S
-        for label, told in list(self._told.items()):
-            while told and told[0].at_s <= oldest_s:
-                told.popleft()
-            if not told:
-                del self._told[label]
-        oldest_s = now_s - _PEER_KEPT_S
+        for label, reports in list(self._reports.items()):
+            while reports and reports[0].received_s <= oldest_s:
+                reports.popleft()
+            if not reports:
+                del self._reports[label]
+        oldest_s = now_s - _PEER_RETENTION_S
         self._peers = {
-            source: peer for source, peer in self._peers.items() if peer.at_s > oldest_s
+            source: peer
+            for source, peer in self._peers.items()
+            if peer.received_s > oldest_s
         }
 
     def _merge(self, label: int) -> Evidence:
-        own = self._own.get(label, _NO_SUMS)
+        own = self._own_sums.get(label, _EMPTY_SUMS)
         whole, recent, fresh = own.whole, own.recent, own.fresh
         good_since_bad, observers = own.good_since_bad, own.observers
         by_domain = dict(own.by_domain)
@@ -203,7 +205,7 @@
                 continue
             counts = AnswerCounts(pooled.answers, pooled.slow, pooled.failed)
             whole = whole.plus(counts)
-            recent = recent.plus(_recent_of(pooled))
+            recent = recent.plus(_recent_counts(pooled))
             fresh = fresh.plus(AnswerCounts(pooled.fresh_answers, pooled.fresh_bad))
             good_since_bad += pooled.good_since_bad
             observers += pooled.observers
@@ -218,102 +220,108 @@
             fresh=fresh,
             good_since_bad=good_since_bad,
             observers=observers,
-            domains=sum(1 for all_, _ in by_domain.values() if all_ >= _DOMAIN_ANSWERS),
+            domains=sum(
+                1 for answers, _ in by_domain.values() if answers >= _DOMAIN_MIN_ANSWERS
+            ),
             bad_domains=sum(1 for _, bad in by_domain.values() if bad),
         )
 
-    def doubts(self, failure_domain: str, held: Container[int] = ()) -> PooledAnswers:
-        """Say what others should know: what was seen here of doubtful runs.
+    def collect_doubtful(
+        self, failure_domain: str, not_good_labels: Container[int] = ()
+    ) -> PooledAnswers:
+        """Return the sums of doubtful runs for other control instances.
 
         Parameters
         ----------
         failure_domain : str
             Of this control instance.
-        held : container of int, optional
-            Labels of the runs that it holds for other than good.
+        not_good_labels : container of int, optional
+            Labels of the runs that it judges as other than good.
 
         Returns
         -------
         PooledAnswers
-            As of the last call of `evidence`: runs with several bad answers here, those
-            that are held for other than good, and those that others have doubts about;
-            empty mostly.
+            As of the last call of `collect_evidence`: runs with several bad answers
+            here, those judged as other than good, and those that are doubtful to other
+            control instances, the worst first; usually empty.
         """
-        asked = {
+        doubted_by_peers = {
             label
             for peer in self._peers.values()
-            for label, one in peer.by_label.items()
-            if one.doubted
+            for label, answer in peer.by_label.items()
+            if answer.doubted
         }
         doubted = {
             label
-            for label, own in self._own.items()
-            if label in held or _is_doubtful(own.whole)
+            for label, own in self._own_sums.items()
+            if label in not_good_labels or _is_doubtful(own.whole)
         }
-        worth = [
+        labels = [
             label
-            for label, own in self._own.items()
-            if own.whole.answers and (label in doubted or label in asked)
+            for label, own in self._own_sums.items()
+            if own.whole.answers and (label in doubted or label in doubted_by_peers)
         ]
-        worth.sort(key=lambda label: (-self._own[label].whole.bad, label))
+        labels.sort(key=lambda label: (-self._own_sums[label].whole.bad, label))
         runs = [
-            _pooled_of(label, self._own[label], label in doubted)
-            for label in worth[:_MOST_TOLD]
+            _make_pooled_answer(label, self._own_sums[label], label in doubted)
+            for label in labels[:_MAX_POOLED_RUNS]
         ]
         return PooledAnswers(failure_domain=failure_domain, runs=runs)
 
 
-def _find_at_fault(all_told: Iterable[Iterable[_Told]]) -> set[bytes]:
-    """Find the entry instances to whom most runs look bad at once."""
+def _find_faulty_sources(
+    reports_by_run: Iterable[Iterable[_SourceReport]],
+) -> set[bytes]:
+    """Return the entry instances that report bad answers of most runs at once."""
     answers: Counter[bytes] = Counter()
     bad: Counter[bytes] = Counter()
     bad_runs: Counter[bytes] = Counter()
-    for told in all_told:
+    for reports in reports_by_run:
         sources = set()
-        for one in told:
-            answers[one.source] += one.answers
-            if one.slow or one.failed:
-                bad[one.source] += one.slow + one.failed
-                sources.add(one.source)
+        for report in reports:
+            answers[report.source] += report.answers
+            if report.slow or report.failed:
+                bad[report.source] += report.slow + report.failed
+                sources.add(report.source)
         bad_runs.update(sources)
     return {
         source
         for source, runs in bad_runs.items()
-        if runs >= _OWN_FAULT_RUNS
-        and answers[source] >= _OWN_FAULT_ANSWERS
-        and bad[source] >= _OWN_FAULT_SHARE * answers[source]
+        if runs >= _FAULTY_SOURCE_MIN_RUNS
+        and answers[source] >= _FAULTY_SOURCE_MIN_ANSWERS
+        and bad[source] >= _FAULTY_SOURCE_BAD_SHARE * answers[source]
     }
 
 
-def _sum_up(
-    told: Iterable[_Told],
-    at_fault: set[bytes],
+def _sum_reports(
+    reports: Iterable[_SourceReport],
+    faulty_sources: set[bytes],
     recent_from_s: float,
     fresh_from_s: float,
-) -> _Sums:
+) -> _RunSums:
     whole, recent, fresh = [0, 0, 0], [0, 0, 0], [0, 0, 0]
     good_since_bad = 0
     observers: set[bytes] = set()
     by_domain: dict[str, tuple[int, int]] = {}
-    for at_s, source, domain, answers, slow, failed in told:
-        if source in at_fault:
+    for received_s, source, domain, answers, slow, failed in reports:
+        if source in faulty_sources:
             continue
-        for one, from_s in (
+        for counts, from_s in (
             (whole, -inf),
             (recent, recent_from_s),
             (fresh, fresh_from_s),
         ):
-            if at_s > from_s:
-                one[0] += answers
-                one[1] += slow
-                one[2] += failed
+            if received_s > from_s:
+                counts[0] += answers
+                counts[1] += slow
+                counts[2] += failed
         bad = slow + failed
         good_since_bad = 0 if bad else good_since_bad + answers
         if bad:
             observers.add(source)
         answers_before, bad_before = by_domain.get(domain, (0, 0))
         by_domain[domain] = (answers_before + answers, bad_before + bad)
-    return _Sums(
+    return _RunSums(
         AnswerCounts(*whole),
         AnswerCounts(*recent),
         AnswerCounts(*fresh),
@@ -323,16 +331,16 @@
     )
 
 
-def _recent_of(one: PooledAnswer) -> AnswerCounts:
-    return AnswerCounts(one.recent_answers, one.recent_slow, one.recent_failed)
+def _recent_counts(answer: PooledAnswer) -> AnswerCounts:
+    return AnswerCounts(answer.recent_answers, answer.recent_slow, answer.recent_failed)
 
 
 def _is_doubtful(counts: AnswerCounts) -> bool:
-    is_several = counts.bad >= _DOUBT_BAD
-    return is_several and counts.bad >= _DOUBT_SHARE * counts.answers
+    has_several_bad = counts.bad >= _DOUBT_BAD_ANSWERS
+    return has_several_bad and counts.bad >= _DOUBT_BAD_SHARE * counts.answers
 
 
-def _pooled_of(label: int, own: _Sums, doubted: bool) -> PooledAnswer:
+def _make_pooled_answer(label: int, own: _RunSums, doubted: bool) -> PooledAnswer:
     whole, recent = own.whole, own.recent
     return PooledAnswer(
         label=label,
--- a/src/agatethread/registry/_chunks.py
+++ b/src/agatethread/registry/_chunks.py
@@ -1,4 +1,4 @@
-"""A routing table in parts, which arrive in any order and more than once."""
+"""Splits a routing table into chunks, and joins received chunks again."""
 
 import zlib
 from dataclasses import dataclass, field
@@ -10,44 +10,44 @@
     RoutingTable,
 )
 
-#: Payload of one message, so that its datagram fits an Ethernet frame.
+#: Payload of one message; its datagram fits an Ethernet frame.
 MESSAGE_BYTES = 1_100
 
 
 @dataclass(frozen=True, slots=True)
 class RoutesOffer:
-    """The newest agreed routing table, ready to be sent."""
+    """The newest agreed routing table, compressed for sending."""
 
     version: int
     compressed: bytes
-    #: What the log held besides when it held this table.
+    #: Those that the log held together with this table.
     evacuations: Evacuations = field(default_factory=Evacuations)
 
 
-def split_routes(offer: RoutesOffer) -> list[RegistryMessage]:
-    """Split a table into messages.
+def split_routes(table: RoutesOffer) -> list[RegistryMessage]:
+    """Return the messages that hold the chunks of a table.
 
     Parameters
     ----------
-    offer : RoutesOffer
+    table : RoutesOffer
         The table.
 
     Returns
     -------
     list of RegistryMessage
-        Its parts, in order.
+        One for each chunk, in order.
     """
     parts = [
-        offer.compressed[start : start + MESSAGE_BYTES]
-        for start in range(0, len(offer.compressed), MESSAGE_BYTES)
+        table.compressed[start : start + MESSAGE_BYTES]
+        for start in range(0, len(table.compressed), MESSAGE_BYTES)
     ]
     chunks = [
         RoutesChunk(
-            version=offer.version,
+            version=table.version,
             number=number,
             count=len(parts),
             data=part,
-            evacuations=offer.evacuations,
+            evacuations=table.evacuations,
         )
         for number, part in enumerate(parts)
     ]
@@ -55,24 +55,27 @@
 
 
 class ChunkedTable:
-    """The parts of the newest table of which any has arrived."""
+    """The chunks of the newest table received so far.
+
+    Chunks arrive in any order, and more than once.
+    """
 
     def __init__(self) -> None:
         self._version = 0
         self._parts: list[bytes | None] = []
 
     def add(self, chunk: RoutesChunk) -> RoutingTable | None:
-        """Take a part.
+        """Store a chunk.
 
         Parameters
         ----------
         chunk : RoutesChunk
-            The part; its number is below its count.
+            The chunk; its number is below its count.
 
         Returns
         -------
         RoutingTable or None
-            The table once it is whole.
+            The table, once all its chunks are received.
         """
         if chunk.version > self._version:
             self._version = chunk.version
@@ -82,7 +85,7 @@
         self._parts[chunk.number] = chunk.data
         if None in self._parts:
             return None
-        # All of it may come again; a table already in force is not asked for.
+        # Repeated chunks are accepted again; a table in force is not requested again.
         table = RoutingTable.FromString(zlib.decompress(b"".join(self._parts)))
         self._version, self._parts = 0, []
         return table
--- a/src/agatethread/registry/_dispatchers.py
+++ b/src/agatethread/registry/_dispatchers.py
@@ -1,10 +1,10 @@
-"""Which entry instances place the openings of each failure domain.
+"""Chooses the entry instances that place the openings of each failure domain.
 
-The load that this answers: far more entry instances than a service has slots for each,
-so that none can tell a busy backend server from a free one by its own flows. A few that
-place for all can. Control instances choose them, each for its own failure domain, whose
-entry instances all ask it; nothing of this is kept, and the choice is a function of the
-instances that serve.
+Handles far more entry instances than slots for each, so that none can tell a busy
+backend server from a free one by its own flows; a few dispatchers that place for all
+can. Each control instance chooses those of its own failure domain, whose entry
+instances all poll it. The choice is a function of the serving instances and is not
+stored.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Sequence
@@ -21,15 +21,15 @@
     HubState,
 )
 
-#: An instance that polls each 0.4 s and was not heard for so long is left out: openings
-#: that are relayed to a dead one wait for the caller's next copy.
-_HEARD_S = 1.0
-#: What a control instance told is used for so long after it was heard last.
-_TOLD_S = 2.0
+#: An entry instance without a poll for this time, more than two poll intervals, is left
+#: out: openings relayed to a failed one wait for the caller's next copy.
+_ENTRY_TIMEOUT_S = 1.0
+#: Dispatchers reported by a control instance are used for this time.
+_CONTROL_TIMEOUT_S = 2.0
 
 
 def count_slots(runs: Iterable[BackendRun], failure_domain: str) -> int:
-    """Count the slots of a failure domain's backend servers.
+    """Return the number of slots of a failure domain's backend servers.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
 def list_serving(
     failure_domain: str, entries: Iterable[tuple[bytes, Subscriber]], now_s: float
 ) -> list[bytes]:
-    """List the entry instances of a failure domain that serve callers.
+    """Return the entry instances of a failure domain that serve callers.
 
     Parameters
     ----------
@@ -74,16 +74,16 @@
         for address, entry in entries
         if entry.failure_domain == failure_domain
         and entry.presence == PRESENCE_SERVING
-        and now_s - entry.heard_s < _HEARD_S
+        and now_s - entry.heard_s < _ENTRY_TIMEOUT_S
     ]
 
 
-def list_heard_by_others(
+def list_serving_at_peers(
     failure_domain: str, links: Iterable[HubLink], now_s: float
 ) -> list[bytes]:
-    """List the entry instances that ask the domain's other control instances.
+    """Return the entry instances that poll the domain's other control instances.
 
-    An entry instance may ask one of them only. If each chose among those that ask it,
+    An entry instance may poll only one of them. If each chose among those that poll it,
     a domain would have two sets of dispatchers for the same backend servers.
 
     Parameters
@@ -91,7 +91,7 @@
     failure_domain : str
         Its name.
     links : iterable of HubLink
-        The control instances that answered lately.
+        The reachable control instances.
     now_s : float
         Present time.
 
@@ -104,7 +104,7 @@
         address
         for link in links
         if link.failure_domain == failure_domain
-        and now_s - link.serving_told_s < _HEARD_S
+        and now_s - link.serving_told_s < _ENTRY_TIMEOUT_S
         for address in link.serving
     ]
 
@@ -114,9 +114,9 @@
     entries: Iterable[tuple[bytes, Subscriber]],
     slot_count: int,
     now_s: float,
-    heard_by_others: Iterable[bytes] = (),
+    serving_at_peers: Iterable[bytes] = (),
 ) -> Dispatchers:
-    """Choose the dispatchers of a failure domain among its entry instances.
+    """Return the dispatchers of a failure domain, chosen among its entry instances.
 
     Parameters
     ----------
@@ -128,15 +128,15 @@
         Slots of the domain's backend servers.
     now_s : float
         Present time.
-    heard_by_others : iterable of bytes, optional
-        Those that other control instances of the domain hear.
+    serving_at_peers : iterable of bytes, optional
+        Entry instances that poll other control instances of the domain.
 
     Returns
     -------
     Dispatchers
-        Without addresses where nobody serves.
+        Without addresses where no entry instance serves.
     """
-    serving = {*list_serving(failure_domain, entries, now_s), *heard_by_others}
+    serving = {*list_serving(failure_domain, entries, now_s), *serving_at_peers}
     return Dispatchers(
         failure_domain=failure_domain,
         addresses=choose_dispatchers(sorted(serving), slot_count),
@@ -145,40 +145,42 @@
 
 
 def merge_dispatchers(links: Iterable[HubLink], now_s: float) -> dict[str, Dispatchers]:
-    """Merge what control instances told of the dispatchers of all failure domains.
+    """Return the dispatchers of all failure domains, as reported by control instances.
 
     Parameters
     ----------
     links : iterable of HubLink
-        The control instances that answered lately.
+        The reachable control instances.
     now_s : float
         Present time.
 
     Returns
     -------
     dict of str to Dispatchers
-        By failure domain: as a control instance of that domain says where one is heard,
-        else as any other does.
+        By failure domain: as reported by a reachable control instance of that domain,
+        or by any other if there is none.
     """
     links = list(links)
     merged: dict[str, Dispatchers] = {}
-    for by_its_own in (True, False):
-        for link, one in _told_lately(links, now_s):
-            if (one.failure_domain == link.failure_domain) is by_its_own:
-                merged.setdefault(one.failure_domain, one)
+    for from_own_domain in (True, False):
+        for link, dispatchers in _list_recent(links, now_s):
+            if (dispatchers.failure_domain == link.failure_domain) is from_own_domain:
+                merged.setdefault(dispatchers.failure_domain, dispatchers)
     return merged
 
 
-def list_first_hand(links: Iterable[HubLink], now_s: float) -> dict[str, Dispatchers]:
-    """List what control instances told of the dispatchers of their own failure domain.
+def list_by_own_control(
+    links: Iterable[HubLink], now_s: float
+) -> dict[str, Dispatchers]:
+    """Return the dispatchers that control instances chose for their own domains.
 
-    Only this may be told on: two that told each other what they had from a third would
-    keep it alive when that one is gone.
+    Only these may be forwarded: two control instances that forwarded to each other what
+    a third reported would keep it after the third has failed.
 
     Parameters
     ----------
     links : iterable of HubLink
-        The control instances that answered lately.
+        The reachable control instances.
     now_s : float
         Present time.
 
@@ -187,57 +189,59 @@
     dict of str to Dispatchers
         By failure domain.
     """
-    heard: dict[str, Dispatchers] = {}
-    for link, one in _told_lately(links, now_s):
-        if one.failure_domain == link.failure_domain:
-            heard.setdefault(one.failure_domain, one)
-    return heard
+    by_domain: dict[str, Dispatchers] = {}
+    for link, dispatchers in _list_recent(links, now_s):
+        if dispatchers.failure_domain == link.failure_domain:
+            by_domain.setdefault(dispatchers.failure_domain, dispatchers)
+    return by_domain
 
 
-def _told_lately(
+def _list_recent(
     links: Iterable[HubLink], now_s: float
 ) -> Iterator[tuple[HubLink, Dispatchers]]:
-    """List what names anybody, in an order that is alike on all instances."""
+    """Yield recent dispatchers that are not empty, in the same order everywhere."""
     for link in sorted(links, key=lambda link: link.address):
-        if now_s - link.dispatchers_told_s >= _TOLD_S:
+        if now_s - link.dispatchers_told_s >= _CONTROL_TIMEOUT_S:
             continue
-        for one in link.dispatchers:
-            if one.addresses:
-                yield link, one
+        for dispatchers in link.dispatchers:
+            if dispatchers.addresses:
+                yield link, dispatchers
 
 
-def digest_of(known: Sequence[Dispatchers]) -> int:
-    """Sum up who the dispatchers are, so that only changes have to be told.
+def compute_digest(all_dispatchers: Sequence[Dispatchers]) -> int:
+    """Return a digest of all dispatchers, so that only changes have to be sent.
 
     Parameters
     ----------
-    known : sequence of Dispatchers
+    all_dispatchers : sequence of Dispatchers
         In the order of their failure domains.
 
     Returns
     -------
     int
-        32 bits; 0 where nobody is known.
+        32 bits; 0 where there are none.
     """
-    if not known:
+    if not all_dispatchers:
         return 0
-    data = b"".join(one.SerializeToString(deterministic=True) for one in known)
+    data = b"".join(
+        each.SerializeToString(deterministic=True) for each in all_dispatchers
+    )
     return xxh32_intdigest(data) or 1
 
 
 class DispatcherDirectory:
-    """What a control instance tells of dispatchers.
+    """The dispatchers of each failure domain as a control instance reports them.
 
     Parameters
     ----------
     failure_domain : str
         Of the control instance.
-    entries_in_sight : callable
-        Lists the entry instances that ask it.
+    list_entries : callable
+        Lists the entry instances that poll it.
     list_runs : callable
         Lists the runs of backend servers.
     list_controls : callable
-        Lists the other control instances that answered lately.
+        Lists the other reachable control instances.
     now_s : callable
         Monotonic clock.
     """
@@ -245,63 +249,63 @@
     def __init__(
         self,
         failure_domain: str,
-        entries_in_sight: Callable[[], Iterable[tuple[bytes, Subscriber]]],
+        list_entries: Callable[[], Iterable[tuple[bytes, Subscriber]]],
         list_runs: Callable[[], Iterable[BackendRun]],
         list_controls: Callable[[], Iterable[HubLink]],
         now_s: Callable[[], float],
     ):
         self._failure_domain = failure_domain
-        self._entries_in_sight = entries_in_sight
+        self._list_entries = list_entries
         self._list_runs = list_runs
         self._list_controls = list_controls
         self._now_s = now_s
-        #: Before it has heard its entry instances it would choose among a few of them.
-        self._chooses_from_s = now_s() + _HEARD_S
-        self._known: Sequence[Dispatchers] = ()
+        #: Earlier, not all entry instances have polled this control instance.
+        self._first_choice_s = now_s() + _ENTRY_TIMEOUT_S
+        self._dispatchers: Sequence[Dispatchers] = ()
         self._digest = 0
         self._serving: Sequence[bytes] = ()
 
     def __call__(self) -> Sequence[Dispatchers]:
-        """Tell the dispatchers of each failure domain.
+        """Return the dispatchers of each failure domain.
 
         Returns
         -------
         sequence of Dispatchers
-            As they were chosen last.
+            As of the last call of `refresh`.
         """
-        return self._known
+        return self._dispatchers
 
     def add_to(self, state: HubState, subscriber: Subscriber) -> None:
-        """Add to a reply what the receiver lacks of this.
+        """Add the dispatchers to a reply if the receiver's digest differs.
 
         Parameters
         ----------
         state : HubState
-            Goes with the reply; it is changed.
+            Part of the reply; it is changed.
         subscriber : Subscriber
-            The receiver. Another control instance of the domain is also told which
-            entry instances ask this one.
+            The receiver. Another control instance of the domain also gets the entry
+            instances that poll this one.
         """
         state.dispatchers_digest = self._digest
         if subscriber.dispatchers_digest != self._digest:
-            state.dispatchers.extend(self._known)
+            state.dispatchers.extend(self._dispatchers)
         if subscriber.is_control and subscriber.failure_domain == self._failure_domain:
             state.serving.extend(self._serving)
 
     def refresh(self) -> None:
-        """Choose anew; to be called a few times a second."""
+        """Choose the dispatchers again; to be called a few times a second."""
         now_s = self._now_s()
         domain, controls = self._failure_domain, list(self._list_controls())
-        entries = list(self._entries_in_sight())
+        entries = list(self._list_entries())
         self._serving = list_serving(domain, entries, now_s)
-        heard = list_first_hand(controls, now_s)
-        if now_s >= self._chooses_from_s:
-            heard[domain] = choose_for_domain(
+        by_domain = list_by_own_control(controls, now_s)
+        if now_s >= self._first_choice_s:
+            by_domain[domain] = choose_for_domain(
                 domain,
                 entries,
                 count_slots(self._list_runs(), domain),
                 now_s,
-                list_heard_by_others(domain, controls, now_s),
+                list_serving_at_peers(domain, controls, now_s),
             )
-        self._known = [heard[domain] for domain in sorted(heard)]
-        self._digest = digest_of(self._known)
+        self._dispatchers = [by_domain[domain] for domain in sorted(by_domain)]
+        self._digest = compute_digest(self._dispatchers)
--- a/src/agatethread/registry/_evacuations.py
+++ b/src/agatethread/registry/_evacuations.py
@@ -1,8 +1,8 @@
-"""Which failure domains are evacuated: published by control, kept by entry instances.
+"""Publishes which failure domains are evacuated, and stores what was published.
 
-The log of the control instances holds them. Each control instance publishes what its
-copy of the log says; the highest version that an entry instance hears is in force
-there, so it does not matter in which order control instances are heard.
+The log of the control instances holds the evacuations. Each control instance publishes
+the state of its copy of the log. An entry instance applies the highest version that it
+receives, so the order of the messages does not matter.
 """
 
 import asyncio
@@ -12,28 +12,28 @@
 from agatethread.registry._waiting import IndexWaiters
 from agatethread.wire.registry_pb2 import Evacuations, RegistryMessage
 
-#: Time after which a change that was not acknowledged is sent again: many round trips
-#: between failure domains, and short beside the seconds in which it must be in force.
-_RESEND_S = 0.15
+#: Time after which an unacknowledged change is sent again: longer than a round trip
+#: between failure domains, and short enough for several retries before the deadline.
+_RESEND_INTERVAL_S = 0.15
 
-#: Lists instances in sight by packed address.
+#: Lists reachable instances by packed address.
 ListSubscribers = Callable[[], Iterable[tuple[bytes, Subscriber]]]
 
 
-def _tell_nobody() -> None:
-    """Tell no other control instance."""
+def _do_nothing() -> None:
+    """Do nothing; the default of `EvacuationPublisher.on_known`."""
 
 
 class EvacuationPublisher:
-    """Sends entry instances the newest evacuations until they have acknowledged them.
+    """Sends entry instances the newest evacuations until they acknowledge them.
 
-    Entry instances may follow control instances of their own failure domain only; for
-    these, other control instances say up to which version all theirs have them.
+    Entry instances may follow control instances of their own failure domain only. Other
+    control instances report the version that all entry instances following them have.
 
     Parameters
     ----------
     subscribers : callable
-        Lists the entry and control instances in sight, with their addresses.
+        Lists the reachable entry and control instances, with their addresses.
     send : callable
         Sends a message to a packed address.
     now_s : callable
@@ -49,15 +49,15 @@
         self._subscribers = subscribers
         self._send = send
         self._now_s = now_s
-        self._waiting = IndexWaiters()
+        self._waiters = IndexWaiters()
         self.newest = Evacuations()
-        #: What all entry instances in sight have.
+        #: Version that all reachable entry instances have acknowledged.
         self.known_version = 0
-        #: Called when that has grown, so that others can be told at once.
-        self.on_known: Callable[[], None] = _tell_nobody
+        #: Called when that version increases, so that others are notified at once.
+        self.on_known: Callable[[], None] = _do_nothing
 
     def offer(self, evacuations: Evacuations) -> bool:
-        """Publish what the log holds, unless that is known already.
+        """Publish the evacuations of the log, unless they are published already.
 
         Parameters
         ----------
@@ -77,59 +77,59 @@
         return True
 
     def publish(self) -> None:
-        """Send them to those that lack them; to be called ten times a second."""
+        """Send the evacuations where missing; to be called ten times a second."""
         if not self.newest.version:
             return
         now_s = self._now_s()
         message = RegistryMessage(evacuations=self.newest)
-        known, elsewhere = [], []
+        entry_versions, control_versions = [], []
         for address, subscriber in self._subscribers():
             if subscriber.is_control:
-                # One of a version that reads no numbers does not say it either.
+                # A release that does not accept numbers does not report its version.
                 if subscriber.takes_numbers:
-                    elsewhere.append(subscriber.evacuations_version)
+                    control_versions.append(subscriber.evacuations_version)
                 continue
-            known.append(subscriber.evacuations_version)
+            entry_versions.append(subscriber.evacuations_version)
             if subscriber.evacuations_version >= self.newest.version:
                 continue
             is_new = subscriber.evacuations_sent_version < self.newest.version
-            if is_new or now_s - subscriber.evacuations_sent_s >= _RESEND_S:
+            if is_new or now_s - subscriber.evacuations_sent_s >= _RESEND_INTERVAL_S:
                 subscriber.evacuations_sent_version = self.newest.version
                 subscriber.evacuations_sent_s = now_s
                 self._send(message, address)
-        known_version = min(known, default=self.newest.version)
-        has_grown = known_version > self.known_version
+        known_version = min(entry_versions, default=self.newest.version)
+        has_increased = known_version > self.known_version
         self.known_version = known_version
-        if has_grown:
+        if has_increased:
             self.on_known()
-        self._waiting.settle(min([known_version, *elsewhere]))
+        self._waiters.settle(min([known_version, *control_versions]))
 
-    async def wait_until_known(self, version: int, limit_s: float) -> bool:
-        """Wait until every entry instance in sight has a version.
+    async def wait_until_known(self, version: int, timeout_s: float) -> bool:
+        """Wait until every reachable entry instance has a version.
 
         Parameters
         ----------
         version : int
             The version.
-        limit_s : float
-            Longest time to wait; 0: not at all.
+        timeout_s : float
+            Longest time to wait; 0 for no waiting.
 
         Returns
         -------
         bool
             Whether all have it.
         """
-        waiting = self._waiting.add(version)
+        acknowledged = self._waiters.add(version)
         self.publish()
         try:
-            await asyncio.wait_for(waiting, limit_s)
+            await asyncio.wait_for(acknowledged, timeout_s)
         except TimeoutError:
             return False
         return True
 
 
 class KnownEvacuations:
-    """The newest evacuations that a process was told of.
+    """The newest evacuations that a process has received.
 
     Parameters
     ----------
@@ -143,11 +143,11 @@
 
     @property
     def known_version(self) -> int:
-        """What this process says that it has."""
+        """Version that this process acknowledges."""
         return self.version
 
     def take(self, evacuations: Evacuations) -> None:
-        """Take what a control instance publishes, unless something newer is known.
+        """Store what a control instance publishes, unless it is not newer.
 
         Parameters
         ----------
--- a/src/agatethread/registry/_labels.py
+++ b/src/agatethread/registry/_labels.py
@@ -1,4 +1,4 @@
-"""The labels that packets carry, which every instance derives alike."""
+"""Derives the labels that packets carry, the same on every instance."""
 
 from xxhash import xxh32_intdigest
 
@@ -6,23 +6,23 @@
 
 
 def label_of(number: int, started_ms: int = START_NOT_TOLD) -> int:
-    """Derive the label that packets carry from the number and start of a run.
+    """Return the label that packets carry for a run, from its number and start time.
 
-    Every instance derives the same, so none has to remember labels given out.
-    Each start has a label of its own: an instance that has not heard of a start yet
-    would else take its flows for those of the run before, and reset them.
+    Every instance derives the same label, so none has to be stored. Each start has its
+    own label: otherwise an instance that has not received the start would assign its
+    flows to the previous run, and reset them.
 
     Parameters
     ----------
     number : int
-        64 bits that name the backend server.
+        64 bits that identify the backend server.
     started_ms : int, optional
         When the run started.
 
     Returns
     -------
     int
-        32 bits, never 0: a caller that knows no backend server sends 0.
+        32 bits, never 0, which callers send before they know a backend server.
     """
     data = number.to_bytes(8, "big")
     if started_ms != START_NOT_TOLD:
--- a/src/agatethread/registry/_memory.py
+++ b/src/agatethread/registry/_memory.py
@@ -1,8 +1,8 @@
-"""What a control instance knows of others, kept over its own restart.
+"""Stores the instances that a control instance knows, as hints for its next start.
 
-Only a hint: it lets packets flow again before every backend server has reported anew,
-and before every entry instance has asked. It is written some time after a change, so it
-may be old or missing.
+With them, packets flow again before every backend server has reported and every entry
+instance has polled. They are written some time after a change, so they may be outdated
+or missing.
 """
 
 import os
@@ -18,14 +18,14 @@
 from agatethread.wire.registry_pb2 import BackendRun, ControlNode, Delta
 
 _CHECKSUM = struct.Struct("!I")
-_FILE = "registry"
+_FILE_NAME = "registry"
 
 log = make_logger("registry")
 
 
 @dataclass(frozen=True, slots=True)
 class KnownEntry:
-    """An entry instance that was told of the backend servers.
+    """An entry instance that backend servers are sent to.
 
     Attributes
     ----------
@@ -41,14 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Hints:
-    """What is kept.
+    """What is stored for a restart.
 
     Attributes
     ----------
     runs : tuple of BackendRun
         Known backend servers.
     entries : tuple of KnownEntry
-        The entry instances that were told of them.
+        Known entry instances.
     """
 
     runs: tuple[BackendRun, ...] = ()
@@ -58,28 +58,28 @@
 def save_hints(
     folder: str, runs: Iterable[BackendRun], entries: Iterable[KnownEntry] = ()
 ) -> None:
-    """Write the hints, synced: this takes as long as the disk takes.
+    """Write the hints and sync them to disk, which blocks.
 
     Parameters
     ----------
     folder : str
         The data folder.
     runs : iterable of BackendRun
-        What is known.
+        Known backend servers.
     entries : iterable of KnownEntry, optional
-        The entry instances that are told.
+        Known entry instances.
 
     Raises
     ------
     OSError
-        If they could not be written; the older file stays.
+        If they could not be written; the previous file stays.
     """
     nodes = [
-        ControlNode(address=one.address, failure_domain=one.failure_domain)
-        for one in entries
+        ControlNode(address=entry.address, failure_domain=entry.failure_domain)
+        for entry in entries
     ]
     payload = Delta(runs=runs, controls=nodes).SerializeToString()
-    path = Path(folder) / _FILE
+    path = Path(folder) / _FILE_NAME
     temporary = path.with_suffix(".new")
     with open(temporary, "wb") as file:
         file.write(_CHECKSUM.pack(zlib.crc32(payload)) + payload)
@@ -94,7 +94,7 @@
 
 
 def load_hints(folder: str) -> Hints:
-    """Read the hints.
+    """Return the stored hints.
 
     Parameters
     ----------
@@ -104,9 +104,9 @@
     Returns
     -------
     Hints
-        Empty if there is no file, or it is not whole.
+        Empty if there is no file, or it is damaged.
     """
-    path = Path(folder) / _FILE
+    path = Path(folder) / _FILE_NAME
     try:
         data = path.read_bytes()
         (checksum,) = _CHECKSUM.unpack_from(data)
--- a/src/agatethread/registry/_quality.py
+++ b/src/agatethread/registry/_quality.py
@@ -1,4 +1,4 @@
-"""Judges backend servers by their answers, and tells entry instances what follows."""
+"""Judges backend servers by their answers, and sends entry instances the weights."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Protocol
@@ -24,29 +24,29 @@
     RunWeights,
 )
 
-#: What has not changed is told again after this time, so that a lost message costs
-#: little of the time for which entry instances believe what they were told.
-_TELL_INTERVAL_S = 0.2
-#: Nothing is told again for so long after the last run got its whole share back: then
-#: every entry instance has heard of it, or does not believe the earlier news any more.
-_ALL_WELL_TOLD_S = 2.0
-#: The same for doubts, which are told each 0.2 s while there are any.
+#: Unchanged weights are sent again after this time, well below the time for which entry
+#: instances use them, so that a lost message has little effect.
+_RESEND_INTERVAL_S = 0.2
+#: Weights are sent for this time after the last run regained its full weight; by then
+#: earlier weights have expired at entry instances that missed the change.
+_RECOVERY_RESEND_S = 2.0
+#: Interval of messages about doubtful runs.
 _DOUBTS_INTERVAL_S = 0.2
 
-#: Entry instances are listed again for a new one so often at most.
-_LIST_PAUSE_S = 0.2
+#: Shortest time between two listings of the entry instances for an unknown sender.
+_LIST_INTERVAL_S = 0.2
 
 log = make_logger("quality")
 
 
 class Reporter(Protocol):
-    """What is known of an entry instance that reports answers."""
+    """An entry instance that reports answers."""
 
     failure_domain: str
 
 
 class QualityKeeper:
-    """What this control instance holds of each run.
+    """Judges each run for one control instance.
 
     Parameters
     ----------
@@ -55,9 +55,9 @@
     runs : callable
         Lists all runs.
     entries : callable
-        Lists the entry instances in sight by their packed addresses.
+        Lists the reachable entry instances by their packed addresses.
     peers : callable
-        Lists the packed addresses of the other control instances in sight.
+        Lists the packed addresses of the other reachable control instances.
     send : callable
         Sends a message to a packed address.
     now_s : callable
@@ -84,18 +84,16 @@
         self._now_s = now_s
         self._counters = counters
         self._pool = AnswerPool()
-        self._judged: dict[int, Judgement] = {}
+        self._judgements: dict[int, Judgement] = {}
         self._evidence: Mapping[int, Evidence] = {}
-        self._told: tuple[tuple[int, int], ...] = ()
-        self._told_s = self._low_s = self._doubted_s = float("-inf")
-        #: Failure domains of entry instances, and when they were listed last.
+        self._sent_weights: tuple[tuple[int, int], ...] = ()
+        self._weights_sent_s = self._reduced_s = self._doubts_sent_s = float("-inf")
+        #: Failure domains of entry instances, and when they were last listed.
         self._domains: dict[bytes, str] = {}
         self._listed_s = float("-inf")
 
-    # -- what arrives -------------------------------------------------------------
-
     def on_message(self, message: RegistryMessage, source: bytes) -> None:
-        """Take a message; others than those of answers are left alone.
+        """Handle a message about answers; ignore others.
 
         Parameters
         ----------
@@ -111,7 +109,7 @@
             self.on_pooled(message.pooled, source)
 
     def on_answers(self, sums: AnswerSums, source: bytes) -> None:
-        """Take what an entry instance saw.
+        """Store the answers that an entry instance reports.
 
         Parameters
         ----------
@@ -120,16 +118,16 @@
         source : bytes
             Packed address of the sender.
         """
-        domain = self._domain_of(source)
+        domain = self._find_domain(source)
         if domain is None:
-            # It has not said yet where it runs, so its word can't be weighed.
+            # Without its failure domain the report can't be judged.
             self._counters["answers_from_strangers"] += 1
             return
-        self._pool.take(source, domain, sums, self._now_s())
+        self._pool.add_report(source, domain, sums, self._now_s())
 
-    def _domain_of(self, source: bytes) -> str | None:
+    def _find_domain(self, source: bytes) -> str | None:
         now_s = self._now_s()
-        if source not in self._domains and now_s - self._listed_s >= _LIST_PAUSE_S:
+        if source not in self._domains and now_s - self._listed_s >= _LIST_INTERVAL_S:
             self._listed_s = now_s
             self._domains = {
                 address: entry.failure_domain for address, entry in self._entries()
@@ -137,56 +135,59 @@
         return self._domains.get(source)
 
     def on_pooled(self, pooled: PooledAnswers, source: bytes) -> None:
-        """Take what another control instance was told.
+        """Store the sums of another control instance.
 
         Parameters
         ----------
         pooled : PooledAnswers
             Its message.
         source : bytes
-            Packed address of the sender; strangers are not believed.
+            Packed address of the sender; unknown senders are ignored.
         """
         if source in set(self._peers()):
-            self._pool.take_pooled(source, pooled, self._now_s())
-
-    # -- what is decided ----------------------------------------------------------
+            self._pool.store_pooled(source, pooled, self._now_s())
 
     def tick(self) -> None:
-        """Judge all runs and tell what follows; to be called ten times a second."""
+        """Judge all runs and send the results; to be called ten times a second."""
         now_s = self._now_s()
-        fresh_s = {label: fresh_from_s(one) for label, one in self._judged.items()}
-        self._evidence = self._pool.evidence(now_s, fresh_s)
-        self._tell_doubts(now_s)
-        if self._evidence or self._judged:
+        fresh_s = {
+            label: fresh_from_s(judgement)
+            for label, judgement in self._judgements.items()
+        }
+        self._evidence = self._pool.collect_evidence(now_s, fresh_s)
+        self._send_doubts(now_s)
+        if self._evidence or self._judgements:
             self._judge(now_s)
-        self._tell_weights(now_s)
+        self._send_weights(now_s)
 
     def _judge(self, now_s: float) -> None:
-        judged: dict[int, Judgement] = {}
+        judgements: dict[int, Judgement] = {}
         by_label = {label_of(run.number, run.started_ms): run for run in self._runs()}
         for domains in _group_by_service(by_label).values():
-            judged |= judge_service(self._judged, self._evidence, domains, now_s)
-        for label in sorted(judged.keys() | self._judged.keys()):
+            judgements |= judge_service(
+                self._judgements, self._evidence, domains, now_s
+            )
+        for label in sorted(judgements.keys() | self._judgements.keys()):
             run = by_label.get(label)
             if run is not None:
-                self._note_change(run, label, judged.get(label, UNJUDGED))
-        self._judged = judged
+                self._log_change(run, label, judgements.get(label, UNJUDGED))
+        self._judgements = judgements
 
-    def _note_change(self, run: BackendRun, label: int, judged: Judgement) -> None:
-        before = self._judged.get(label, UNJUDGED)
-        if before.quality is judged.quality:
+    def _log_change(self, run: BackendRun, label: int, judgement: Judgement) -> None:
+        before = self._judgements.get(label, UNJUDGED)
+        if before.quality is judgement.quality:
             return
-        name = judged.quality.value.replace(" ", "_")
+        name = judgement.quality.value.replace(" ", "_")
         self._counters[f"backend_servers_{name}"] += 1
         evidence = self._evidence.get(label, NO_EVIDENCE)
         log.info(
             Event.BACKEND_JUDGED,
             run=run.id,
             service=run.service,
-            quality=judged.quality.value,
+            quality=judgement.quality.value,
             quality_before=before.quality.value,
-            weight=round(judged.weight, 2),
-            chance=round(judged.chance, 7),
+            weight=round(judgement.weight, 2),
+            chance=round(judgement.chance, 7),
             answers=evidence.whole.answers,
             slow=evidence.whole.slow,
             failed=evidence.whole.failed,
@@ -197,45 +198,41 @@
             observers=evidence.observers,
         )
 
-    # -- what is told -------------------------------------------------------------
-
-    def _tell_doubts(self, now_s: float) -> None:
-        if now_s - self._doubted_s < _DOUBTS_INTERVAL_S:
+    def _send_doubts(self, now_s: float) -> None:
+        if now_s - self._doubts_sent_s < _DOUBTS_INTERVAL_S:
             return
-        doubts = self._pool.doubts(self._failure_domain, self._judged)
-        if not doubts.runs:
+        pooled = self._pool.collect_doubtful(self._failure_domain, self._judgements)
+        if not pooled.runs:
             return
-        self._doubted_s = now_s
-        message = RegistryMessage(pooled=doubts)
+        self._doubts_sent_s = now_s
+        message = RegistryMessage(pooled=pooled)
         for address in self._peers():
             self._send(message, address)
 
-    def _tell_weights(self, now_s: float) -> None:
-        weights = self._weights()
-        is_new = weights != self._told
+    def _send_weights(self, now_s: float) -> None:
+        weights = self._list_reduced_weights()
+        is_new = weights != self._sent_weights
         if weights or is_new:
-            self._low_s = now_s
-        if now_s - self._low_s > _ALL_WELL_TOLD_S:
+            self._reduced_s = now_s
+        if now_s - self._reduced_s > _RECOVERY_RESEND_S:
             return
-        if not is_new and now_s - self._told_s < _TELL_INTERVAL_S:
+        if not is_new and now_s - self._weights_sent_s < _RESEND_INTERVAL_S:
             return
-        self._told, self._told_s = weights, now_s
+        self._sent_weights, self._weights_sent_s = weights, now_s
         runs = [RunWeight(label=label, percent=percent) for label, percent in weights]
         message = RegistryMessage(weights=RunWeights(runs=runs))
-        for address in self._pool.reporters(now_s):
+        for address in self._pool.list_reporters(now_s):
             self._send(message, address)
 
-    def _weights(self) -> tuple[tuple[int, int], ...]:
+    def _list_reduced_weights(self) -> tuple[tuple[int, int], ...]:
         return tuple(
-            (label, round(100 * one.weight))
-            for label, one in sorted(self._judged.items())
-            if one.weight < 1.0
+            (label, round(100 * judgement.weight))
+            for label, judgement in sorted(self._judgements.items())
+            if judgement.weight < 1.0
         )
 
-    # -- state --------------------------------------------------------------------
-
     def quality_of(self, label: int) -> Quality:
-        """Tell what is held of a run.
+        """Return the quality of a run.
 
         Parameters
         ----------
@@ -245,12 +242,12 @@
         Returns
         -------
         Quality
-            Good where nothing was decided.
+            Good where the run was not judged.
         """
-        return self._judged.get(label, UNJUDGED).quality
+        return self._judgements.get(label, UNJUDGED).quality
 
     def dump(self) -> list[dict[str, object]]:
-        """List the runs that are not held for good, or were not a moment ago.
+        """Return the state of each run that is not good, or recently was not.
 
         Returns
         -------
@@ -260,17 +257,17 @@
         return [
             {
                 "label": label,
-                "quality": one.quality.value,
-                "weight": round(one.weight, 2),
-                "since_ago_s": round(self._now_s() - one.since_s, 3),
-                "chance": round(one.chance, 7),
+                "quality": judgement.quality.value,
+                "weight": round(judgement.weight, 2),
+                "since_ago_s": round(self._now_s() - judgement.since_s, 3),
+                "chance": round(judgement.chance, 7),
             }
-            for label, one in sorted(self._judged.items())
+            for label, judgement in sorted(self._judgements.items())
         ]
 
 
 def _group_by_service(runs: Mapping[int, BackendRun]) -> dict[str, dict[int, str]]:
-    """Group the runs that may take work; tell the failure domain of each."""
+    """Return the failure domains of runs that accept work, by service and label."""
     grouped: dict[str, dict[int, str]] = {}
     for label, run in runs.items():
         if run.ended or run.silent or run.draining:
--- a/src/agatethread/registry/_report.py
+++ b/src/agatethread/registry/_report.py
@@ -1,38 +1,38 @@
-"""What a backend server says of itself."""
+"""Defines the status report of a backend server."""
 
 from dataclasses import dataclass
 
-#: Start time of a run that does not tell it: older than any that is told.
+#: Start time of a run that does not report it; before any reported one.
 START_NOT_TOLD = 0
 
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """One status report of one run of a backend server.
+    """A status report of one run of a backend server.
 
     Attributes
     ----------
     id : str
-        Names the backend server; with `started_ms`, one run of it.
+        Identifies the backend server; with `started_ms`, one run of it.
     number : int
-        64 bits that its datagrams are addressed with.
+        64 bits that address it in datagrams.
     service : str
         The service it belongs to.
     address : bytes
-        Packed address that it receives at.
+        Packed address at which it receives datagrams.
     failure_domain : str
         Where it runs.
     slots : int
-        Requests that it works on at once.
+        Requests that it processes at once.
     sequence : int
-        Grows with each report of the run.
+        Increases with each report of the run.
     draining : bool
-        Whether it asks for no further work.
+        Whether it accepts no further work.
     warm_up_s : float
-        How much longer it will be slow after its start.
+        Remaining time for which it is slow after its start.
     started_ms : int
         Start of the run, Unix milliseconds by its own clock; `START_NOT_TOLD` if it
-        does not say.
+        does not report it.
     """
 
     id: str
--- a/src/agatethread/registry/_run_logs.py
+++ b/src/agatethread/registry/_run_logs.py
@@ -1,4 +1,4 @@
-"""Says in the log what became of runs, and which reports were not taken and why."""
+"""Logs state changes of runs, and reports and ends that were not accepted."""
 
 from agatethread.observability import Event, make_logger
 from agatethread.registry._admission import Verdict
@@ -12,14 +12,14 @@
 def log_not_taken(
     report: Report, verdict: Verdict, holder: RunEntry | None, now_s: float
 ) -> None:
-    """Log a report that does not count.
+    """Log a report that was not accepted.
 
     Parameters
     ----------
     report : Report
         The report.
     verdict : Verdict
-        Why not.
+        The reason.
     holder : RunEntry or None
         The run of another id that holds its address.
     now_s : float
@@ -36,14 +36,14 @@
 
 
 def log_end_not_taken(run: BackendRun, started_ms: int) -> None:
-    """Log an end that is not that of the known run.
+    """Log an end that does not apply to the known run.
 
     Parameters
     ----------
     run : BackendRun
         The known run.
     started_ms : int
-        Start of the one that has ended.
+        Start of the run that has ended.
     """
     log.info(
         Event.END_NOT_TAKEN,
@@ -54,14 +54,14 @@
 
 
 def log_reports(run: BackendRun, is_new: bool) -> None:
-    """Log a report that entry instances are told of.
+    """Log a report that is sent to entry instances.
 
     Parameters
     ----------
     run : BackendRun
         The run.
     is_new : bool
-        Whether it is the first one.
+        Whether it is the first of its run.
     """
     log.info(
         Event.BACKEND_REPORTS,
@@ -102,7 +102,7 @@
     run : BackendRun
         The run.
     reason : str
-        How it is known.
+        How the end was detected.
     """
     log.info(
         Event.BACKEND_ENDED,
--- a/src/agatethread/registry/_sightings.py
+++ b/src/agatethread/registry/_sightings.py
@@ -1,8 +1,7 @@
-"""Puts together what entry instances see of runs that do not answer.
+"""Sums up the sightings of entry instances: runs that do not answer their flows.
 
-The load that this answers: a backend server dies without a word, and each entry
-instance alone needs seconds to be sure of it, since each sees a small share of its
-flows. Together they have seen enough within the time that any one has to wait.
+Handles a backend server that fails silently while each entry instance, which sees a
+small share of its flows, would alone need seconds to detect it.
 """
 
 from collections.abc import Iterable
@@ -10,34 +9,33 @@
 
 from agatethread.wire.registry_pb2 import Sighting, Sightings
 
-#: What an entry instance has not said again for so long is no longer true: it says it
-#: each 0.1 s until it holds the run for gone, and others may need it a little longer.
-KEPT_S = 0.6
-#: Runs told of at a time, those with the most flows waiting first. A message of 16 runs
-#: has 260 bytes, and the runs of a failure domain are told of for a second or so.
-_MOST_RUNS = 16
-#: Flows and instances below which nobody would act on what is told.
-_LEAST_WAITING = 3
-_LEAST_OBSERVERS = 2
-#: The same of a sum from another control instance, which it says each 0.1 s: one may be
-#: lost, and its parts are as old as `KEPT_S` already.
-_SUM_KEPT_S = 0.25
+#: A sighting expires after this time without a repetition. Entry instances repeat it
+#: each 0.1 s until they regard the run as failed, and others may need it a bit longer.
+RETENTION_S = 0.6
+#: Runs in one message, those with the most waiting flows first.
+_MAX_RUNS = 16
+#: Below these numbers of flows and instances no receiver acts on a sighting.
+_MIN_WAITING = 3
+_MIN_OBSERVERS = 2
+#: A sum of another control instance, repeated each 0.1 s, expires after this time: one
+#: message may be lost, and its parts may be as old as `RETENTION_S` already.
+_SUM_RETENTION_S = 0.25
 
 
 @dataclass(frozen=True, slots=True)
-class _Seen:
+class _StoredSighting:
     sighting: Sighting
     failure_domain: str
-    at_s: float
-    #: Whether it is the sum of what the failure domain's entry instances see.
+    received_s: float
+    #: Whether it sums up the sightings of the failure domain's entry instances.
     is_sum: bool = False
 
 
 class SightingPool:
-    """What entry instances said of each run lately."""
+    """Recent sightings of each run by entry instances."""
 
     def __init__(self) -> None:
-        self._seen: dict[int, dict[bytes, _Seen]] = {}
+        self._by_label: dict[int, dict[bytes, _StoredSighting]] = {}
 
     def take(
         self,
@@ -46,7 +44,7 @@
         sightings: Iterable[Sighting],
         now_s: float,
     ) -> None:
-        """Take what one entry instance sees.
+        """Store the sightings of one entry instance.
 
         Parameters
         ----------
@@ -55,18 +53,18 @@
         failure_domain : str
             Where it runs.
         sightings : iterable of Sighting
-            Runs that it waits for, or was answered by.
+            Runs that it waits for, or got an answer from.
         now_s : float
             Present time.
         """
         for sighting in sightings:
-            by_source = self._seen.setdefault(sighting.label, {})
-            by_source[source] = _Seen(sighting, failure_domain, now_s)
+            by_source = self._by_label.setdefault(sighting.label, {})
+            by_source[source] = _StoredSighting(sighting, failure_domain, now_s)
 
     def take_sums(
         self, failure_domain: str, sightings: Iterable[Sighting], now_s: float
     ) -> None:
-        """Take what another control instance sums up of its failure domain.
+        """Store the sums of another control instance for its failure domain.
 
         Parameters
         ----------
@@ -78,17 +76,16 @@
             Present time.
         """
         for sighting in sightings:
-            by_source = self._seen.setdefault(sighting.label, {})
+            by_source = self._by_label.setdefault(sighting.label, {})
             kind = "waiting" if sighting.waiting else "answered"
             source = f"{failure_domain} {kind}".encode()
-            by_source[source] = _Seen(sighting, failure_domain, now_s, True)
+            by_source[source] = _StoredSighting(sighting, failure_domain, now_s, True)
 
     def sum_up_domain(self, failure_domain: str, now_s: float) -> Sightings:
-        """Sum up what the entry instances of a failure domain see themselves.
+        """Return the sums of the sightings of a failure domain's entry instances.
 
-        The load that this answers: where entry instances follow control instances of
-        their own failure domain only, what those of others see comes as one sum of a
-        domain, and not from each of dozens.
+        Handles dozens of entry instances that follow control instances of their own
+        failure domain only: other failure domains get one sum instead of each sighting.
 
         Parameters
         ----------
@@ -100,22 +97,22 @@
         Returns
         -------
         Sightings
-            Flows that wait, and answers, each apart; empty if there are none.
+            Waiting flows and answers, summed separately; empty if there are none.
         """
-        self._drop_old(now_s)
-        found = []
-        for label, by_source in self._seen.items():
+        self._delete_expired(now_s)
+        sums = []
+        for label, by_source in self._by_label.items():
             own = [
-                one
-                for one in by_source.values()
-                if one.failure_domain == failure_domain and not one.is_sum
+                stored
+                for stored in by_source.values()
+                if stored.failure_domain == failure_domain and not stored.is_sum
             ]
-            found += _sum_apart(label, own, now_s)
-        found.sort(key=lambda one: -one.waiting)
-        return Sightings(runs=found[: 2 * _MOST_RUNS])
+            sums += _sum_separately(label, own, now_s)
+        sums.sort(key=lambda sighting: -sighting.waiting)
+        return Sightings(runs=sums[: 2 * _MAX_RUNS])
 
     def digest(self, now_s: float) -> Sightings:
-        """Sum up what is still true.
+        """Return the sums over all sources of runs that flows wait for.
 
         Parameters
         ----------
@@ -127,76 +124,88 @@
         Sightings
             Runs that flows wait for at several instances; empty if there are none.
         """
-        self._drop_old(now_s)
+        self._delete_expired(now_s)
         sums = [
-            _sum_up(label, list(by_source.values()), now_s)
-            for label, by_source in self._seen.items()
+            _sum_sightings(label, list(by_source.values()), now_s)
+            for label, by_source in self._by_label.items()
         ]
-        waited_for = [one for one in sums if _is_worth_telling(one)]
-        waited_for.sort(key=lambda one: -one.waiting)
-        return Sightings(runs=waited_for[:_MOST_RUNS])
-
-    def _drop_old(self, now_s: float) -> None:
-        for label, by_source in list(self._seen.items()):
-            for source, seen in list(by_source.items()):
-                if now_s - seen.at_s > (_SUM_KEPT_S if seen.is_sum else KEPT_S):
+        waited_for = [sighting for sighting in sums if _reaches_threshold(sighting)]
+        waited_for.sort(key=lambda sighting: -sighting.waiting)
+        return Sightings(runs=waited_for[:_MAX_RUNS])
+
+    def _delete_expired(self, now_s: float) -> None:
+        for label, by_source in list(self._by_label.items()):
+            for source, stored in list(by_source.items()):
+                if now_s - stored.received_s > (
+                    _SUM_RETENTION_S if stored.is_sum else RETENTION_S
+                ):
                     del by_source[source]
             if not by_source:
-                del self._seen[label]
+                del self._by_label[label]
 
 
-def _is_worth_telling(one: Sighting) -> bool:
-    return one.waiting >= _LEAST_WAITING and one.observers >= _LEAST_OBSERVERS
+def _reaches_threshold(total: Sighting) -> bool:
+    return total.waiting >= _MIN_WAITING and total.observers >= _MIN_OBSERVERS
 
 
-def _sum_up(label: int, seen: list[_Seen], now_s: float) -> Sighting:
-    waiting = _choose_fuller([one for one in seen if one.sighting.waiting])
-    answered = [one for one in seen if not one.sighting.waiting]
-    # What was said a moment ago may have ended since, so silence does not grow here.
-    silent_ms = max((one.sighting.silent_ms for one in waiting), default=0)
-    # One instance that was answered knows better than all that wait.
-    silent_ms = min([silent_ms, *(_answered_ago_ms(one, now_s) for one in answered)])
+def _sum_sightings(
+    label: int, sightings: list[_StoredSighting], now_s: float
+) -> Sighting:
+    waiting = _choose_larger([each for each in sightings if each.sighting.waiting])
+    answered = [each for each in sightings if not each.sighting.waiting]
+    # A sighting is not extrapolated: the silence may have ended since.
+    silent_ms = max((each.sighting.silent_ms for each in waiting), default=0)
+    # A single answer has precedence over all waiting flows.
+    silent_ms = min(
+        [silent_ms, *(_last_answer_age_ms(each, now_s) for each in answered)]
+    )
     return Sighting(
         label=label,
-        waiting=sum(one.sighting.waiting for one in waiting),
+        waiting=sum(each.sighting.waiting for each in waiting),
         silent_ms=silent_ms,
-        observers=sum(max(1, one.sighting.observers) for one in waiting),
-        domains=len({one.failure_domain for one in waiting}),
+        observers=sum(max(1, each.sighting.observers) for each in waiting),
+        domains=len({each.failure_domain for each in waiting}),
     )
 
 
-def _choose_fuller(waiting: list[_Seen]) -> list[_Seen]:
-    """Leave out what is told twice: a domain's sum, or those of it that told directly.
+def _choose_larger(waiting: list[_StoredSighting]) -> list[_StoredSighting]:
+    """Return each domain's sum or its single sightings, whichever has more flows.
 
-    An entry instance that follows control instances of other failure domains, too, is
-    in its own domain's sum and heard besides.
+    An entry instance that also follows control instances of other failure domains is
+    part of its own domain's sum and sends its sightings directly; it must count once.
     """
-    chosen: list[_Seen] = []
-    for domain in {one.failure_domain for one in waiting}:
-        of_domain = [one for one in waiting if one.failure_domain == domain]
+    chosen: list[_StoredSighting] = []
+    for domain in {each.failure_domain for each in waiting}:
+        of_domain = [each for each in waiting if each.failure_domain == domain]
         parts = (
-            [one for one in of_domain if not one.is_sum],
-            [one for one in of_domain if one.is_sum],
+            [each for each in of_domain if not each.is_sum],
+            [each for each in of_domain if each.is_sum],
+        )
+        chosen += max(
+            parts, key=lambda part: sum(each.sighting.waiting for each in part)
         )
-        chosen += max(parts, key=lambda part: sum(x.sighting.waiting for x in part))
     return chosen
 
 
-def _sum_apart(label: int, seen: list[_Seen], now_s: float) -> list[Sighting]:
-    waiting = [one.sighting for one in seen if one.sighting.waiting]
+def _sum_separately(
+    label: int, sightings: list[_StoredSighting], now_s: float
+) -> list[Sighting]:
+    waiting = [each.sighting for each in sightings if each.sighting.waiting]
     answered = [
-        _answered_ago_ms(one, now_s) for one in seen if not one.sighting.waiting
+        _last_answer_age_ms(each, now_s)
+        for each in sightings
+        if not each.sighting.waiting
     ]
-    found = []
+    sums = []
     if waiting:
-        one = Sighting(label=label, observers=len(waiting))
-        one.waiting = sum(each.waiting for each in waiting)
-        one.silent_ms = max(each.silent_ms for each in waiting)
-        found.append(one)
+        total = Sighting(label=label, observers=len(waiting))
+        total.waiting = sum(each.waiting for each in waiting)
+        total.silent_ms = max(each.silent_ms for each in waiting)
+        sums.append(total)
     if answered:
-        found.append(Sighting(label=label, silent_ms=min(answered)))
-    return found
+        sums.append(Sighting(label=label, silent_ms=min(answered)))
+    return sums
 
 
-def _answered_ago_ms(seen: _Seen, now_s: float) -> int:
-    return seen.sighting.silent_ms + round((now_s - seen.at_s) * 1000)
+def _last_answer_age_ms(answered: _StoredSighting, now_s: float) -> int:
+    return answered.sighting.silent_ms + round((now_s - answered.received_s) * 1000)
--- a/src/agatethread/registry/_traffic.py
+++ b/src/agatethread/registry/_traffic.py
@@ -1,14 +1,14 @@
-"""Counts what is sent to other instances, by purpose and failure domain."""
+"""Counts messages and bytes sent to other instances, by purpose and failure domain."""
 
 from agatethread.observability import Counters
 from agatethread.wire.registry_pb2 import Delta, Poll, RegistryMessage
 
-#: Addresses whose failure domain is kept: several times the largest deployment.
-_MOST_ADDRESSES = 4_096
+#: Addresses whose failure domain is stored; several times the largest deployment.
+_MAX_ADDRESSES = 4_096
 
 
 def name_purpose(message: RegistryMessage) -> str:
-    """Name what a message is sent for.
+    """Return the purpose that a message is counted under.
 
     Parameters
     ----------
@@ -36,24 +36,24 @@
 
 
 def _name_delta(delta: Delta) -> str:
-    # A greeting has neither; it is the answer to a probe.
+    # A greeting, which replies to a probe, has neither runs nor numbers.
     if delta.HasField("hub") or not (delta.runs or delta.reporting):
         return "reply"
     return "change" if delta.runs else "numbers"
 
 
-class TrafficCount:
+class TrafficCounter:
     """Counts messages and bytes by purpose and place of the receiver.
 
-    The place is what the receiver said of itself: ``home`` or ``away`` for the failure
-    domain, with ``control`` or ``entry`` for what it is; ``unknown`` before it spoke.
+    The place is the receiver's role, ``control`` or ``entry``, with ``home`` for the
+    own failure domain or ``away`` for another; ``unknown`` before its first message.
 
     Parameters
     ----------
     failure_domain : str
         Of this process.
     counters : Counters
-        Gets ``sent_<purpose>_<place>`` messages and ``sent_bytes_<purpose>_<place>``.
+        Counts ``sent_<purpose>_<place>`` and ``sent_bytes_<purpose>_<place>``.
     """
 
     def __init__(self, failure_domain: str, counters: Counters):
@@ -61,39 +61,43 @@
         self._counters = counters
         self._places: dict[bytes, str] = {}
 
-    def note(self, message: RegistryMessage, source: bytes) -> None:
-        """Note what a sender says of its failure domain.
+    def store_places(self, message: RegistryMessage, source: bytes) -> None:
+        """Store the places of instances that a received message names.
 
         Parameters
         ----------
         message : RegistryMessage
-            What it sent.
+            The message.
         source : bytes
-            Its packed address.
+            Packed address of the sender.
         """
         body = message.WhichOneof("body")
         if body == "poll":
-            self._note(source, message.poll.failure_domain, message.poll.is_control)
+            self._store_place(
+                source, message.poll.failure_domain, message.poll.is_control
+            )
         elif body == "delta":
-            self._note(source, message.delta.failure_domain, True)
-            for one in message.delta.hub.dispatchers:
-                for address in one.addresses:
-                    self._note(address, one.failure_domain, False)
-
-    def _note(self, address: bytes, failure_domain: str, is_control: bool) -> None:
-        if len(self._places) >= _MOST_ADDRESSES and address not in self._places:
+            self._store_place(source, message.delta.failure_domain, True)
+            for dispatchers in message.delta.hub.dispatchers:
+                for address in dispatchers.addresses:
+                    self._store_place(address, dispatchers.failure_domain, False)
+
+    def _store_place(
+        self, address: bytes, failure_domain: str, is_control: bool
+    ) -> None:
+        if len(self._places) >= _MAX_ADDRESSES and address not in self._places:
             return
         role = "control" if is_control else "entry"
         place = "home" if failure_domain == self._failure_domain else "away"
         self._places[address] = f"{role}_{place}"
 
     def count(self, purpose: str, size_bytes: int, target: bytes) -> None:
-        """Count a message that is sent.
+        """Count a sent message.
 
         Parameters
         ----------
         purpose : str
-            As `name_purpose` tells.
+            As `name_purpose` returns.
         size_bytes : int
             Of its payload.
         target : bytes
--- a/src/agatethread/registry/_transport.py
+++ b/src/agatethread/registry/_transport.py
@@ -1,7 +1,7 @@
-"""Registry messages over one datagram socket.
+"""Sends and receives registry messages over one datagram socket.
 
-Datagrams and not connections: a connection can hang without a sign, and everything said
-here is repeated until it is acknowledged.
+Datagrams instead of connections, since a connection may hang unnoticed, and all
+messages are repeated until they are acknowledged.
 """
 
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 from agatethread.exceptions import DatagramError
 from agatethread.observability import Counters
-from agatethread.registry._traffic import TrafficCount, name_purpose
+from agatethread.registry._traffic import TrafficCounter, name_purpose
 from agatethread.sockets import (
     drain_into,
     open_socket,
@@ -25,7 +25,7 @@
 
 
 def decode_message(data: bytes) -> RegistryMessage:
-    """Decode a datagram.
+    """Return the message that a datagram holds.
 
     Parameters
     ----------
@@ -35,12 +35,12 @@
     Returns
     -------
     RegistryMessage
-        One with a body.
+        The message, which has a body.
 
     Raises
     ------
     DatagramError
-        If it is none.
+        If the datagram holds no registry message, or an empty one.
     """
     try:
         message = RegistryMessage.FromString(data)
@@ -57,9 +57,9 @@
     Parameters
     ----------
     address : str
-        ``IP:port`` to listen at.
+        ``IP:port`` to listen on.
     counters : Counters
-        Counts what is sent and what can't be read.
+        Counts sent messages and unreadable ones.
     failure_domain : str
         Of this process.
     """
@@ -67,15 +67,15 @@
     def __init__(self, address: str, counters: Counters, failure_domain: str):
         self._socket = open_socket(address)
         self._counters = counters
-        self._traffic = TrafficCount(failure_domain, counters)
+        self._traffic = TrafficCounter(failure_domain, counters)
         self._send = send_or_count(self._socket, counters)
-        #: One message mostly goes to many in a row, and is written once.
+        #: A message is usually sent to many receivers in turn, and is serialized once.
         self._last_message: RegistryMessage | None = None
         self._last_data = b""
         self._last_purpose = ""
 
     def start(self, handler: Handler) -> None:
-        """Start to read.
+        """Start receiving messages.
 
         Parameters
         ----------
@@ -85,7 +85,7 @@
 
         def on_datagram(data: bytes, source: tuple[str, int]) -> None:
             message, sender = decode_message(data), pack_address(source)
-            self._traffic.note(message, sender)
+            self._traffic.store_places(message, sender)
             handler(message, sender)
 
         start_reading(
--- a/src/agatethread/registry/_waiting.py
+++ b/src/agatethread/registry/_waiting.py
@@ -1,19 +1,19 @@
-"""Calls that wait until everyone has acknowledged a change."""
+"""Futures of calls that wait until all receivers have acknowledged a change."""
 
 import asyncio
 
 
 class IndexWaiters:
-    """Futures, each with the index that has to be acknowledged."""
+    """Futures, each with the index that it waits for."""
 
     def __init__(self) -> None:
-        self._waiting: list[tuple[int, asyncio.Future[None]]] = []
+        self._waiters: list[tuple[int, asyncio.Future[None]]] = []
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._waiters)
 
     def add(self, index: int) -> asyncio.Future[None]:
-        """Make a future that is done when an index is acknowledged.
+        """Return a future that completes when an index is acknowledged.
 
         Parameters
         ----------
@@ -23,26 +23,26 @@
         Returns
         -------
         Future
-            Dropped at the next call of `settle` once it is cancelled.
+            Removed by the next call of `settle` if it is cancelled.
         """
         future = asyncio.get_running_loop().create_future()
-        self._waiting.append((index, future))
+        self._waiters.append((index, future))
         return future
 
-    def settle(self, acknowledged: int) -> None:
-        """End the futures whose index everyone has acknowledged.
+    def settle(self, acknowledged_index: int) -> None:
+        """Complete the futures whose index all receivers have acknowledged.
 
         Parameters
         ----------
-        acknowledged : int
-            Highest index that all have.
+        acknowledged_index : int
+            Highest index that all have acknowledged.
         """
-        still_waiting = []
-        for index, future in self._waiting:
+        remaining = []
+        for index, future in self._waiters:
             if future.done():
                 continue
-            if index <= acknowledged:
+            if index <= acknowledged_index:
                 future.set_result(None)
             else:
-                still_waiting.append((index, future))
-        self._waiting = still_waiting
+                remaining.append((index, future))
+        self._waiters = remaining
--- a/src/agatethread/registry/_watchers.py
+++ b/src/agatethread/registry/_watchers.py
@@ -1,25 +1,25 @@
-"""Entry instances that only look whether a control instance is there."""
+"""Stores the entry instances that probe a control instance without following it."""
 
 from agatethread.registry._memory import KnownEntry
 
-#: Each control instance is looked at every few seconds, one after the other.
-_KEPT_S = 10.0
-#: Addresses that are kept: several times the largest deployment.
-_MOST_COUNT = 4_096
+#: Longer than the few seconds between two probes of an entry instance.
+_RETENTION_S = 10.0
+#: Addresses that are stored; several times the largest deployment.
+_MAX_COUNT = 4_096
 
 
 class Watchers:
-    """Who looked lately.
+    """Entry instances that sent a probe recently.
 
-    The load that this answers: a loss of all power, after which each entry instance
-    waits for the first control instance. One that starts greets these, too.
+    Handles a power failure of the whole site, after which each entry instance waits for
+    the first control instance: a started control instance greets these, too.
     """
 
     def __init__(self) -> None:
-        self._heard: dict[bytes, tuple[str, float]] = {}
+        self._probes: dict[bytes, tuple[str, float]] = {}
 
     def note(self, address: bytes, failure_domain: str, now_s: float) -> None:
-        """Note that an entry instance looked.
+        """Store the time of a probe.
 
         Parameters
         ----------
@@ -30,11 +30,11 @@
         now_s : float
             Present time.
         """
-        if len(self._heard) < _MOST_COUNT or address in self._heard:
-            self._heard[address] = (failure_domain, now_s)
+        if len(self._probes) < _MAX_COUNT or address in self._probes:
+            self._probes[address] = (failure_domain, now_s)
 
     def known(self, now_s: float) -> list[KnownEntry]:
-        """List those that looked lately, and forget the others.
+        """Return the entry instances with a recent probe, and delete the others.
 
         Parameters
         ----------
@@ -46,9 +46,11 @@
         list of KnownEntry
             In no particular order.
         """
-        self._heard = {
-            address: (domain, heard_s)
-            for address, (domain, heard_s) in self._heard.items()
-            if now_s - heard_s < _KEPT_S
+        self._probes = {
+            address: (domain, probed_s)
+            for address, (domain, probed_s) in self._probes.items()
+            if now_s - probed_s < _RETENTION_S
         }
-        return [KnownEntry(address, one) for address, (one, _) in self._heard.items()]
+        return [
+            KnownEntry(address, domain) for address, (domain, _) in self._probes.items()
+        ]
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -18,19 +18,19 @@
 
 class TestMemberTable(unittest.TestCase):
     @given(st.permutations(range(12)), st.lists(STATES, min_size=12, max_size=12))
-    def test_order_of_news_does_not_matter(self, order, states):
-        """The same news in any order ends in the same state."""
-        news = [
+    def test_order_of_updates_does_not_matter(self, order, states):
+        """The same updates in any order end in the same state."""
+        updates = [
             member(2, counter=number // 3, state=states[number]) for number in range(12)
         ]
-        straight, crossed = fleet_table(1), fleet_table(1)
+        in_order, reordered = fleet_table(1), fleet_table(1)
         for number in range(12):
-            straight.apply(news[number])
-            crossed.apply(news[order[number]])
-        self.assertEqual(straight.members, crossed.members)
+            in_order.apply(updates[number])
+            reordered.apply(updates[order[number]])
+        self.assertEqual(in_order.members, reordered.members)
 
-    def test_wrong_news_of_its_death_is_refuted(self):
-        """An instance that hears of its own death outbids the news."""
+    def test_refutes_its_own_death(self):
+        """An instance that is reported dead publishes a newer state."""
         table = fleet_table(3)
         table.apply(dead(table.me))
         self.assertEqual(table.me.state, MemberState.ALIVE)
@@ -39,22 +39,22 @@
         others.apply(table.me)
         self.assertTrue(others.is_alive(table.me.ref))
 
-    def test_clock_that_went_back_between_runs(self):
-        """A run whose incarnation is below the last one's takes a higher one."""
+    def test_raises_incarnation_after_clock_was_set_back(self):
+        """A start with an incarnation below the previous one chooses a higher one."""
         table = MemberTable(member(1))
         table.apply(replace(member(1), incarnation=50))
         self.assertGreater(table.me.incarnation, 50)
         self.assertTrue(table.is_alive(table.me.ref))
 
-    def test_restarted_instance_is_another_run(self):
-        """What named the former run of an instance finds it dead."""
+    def test_previous_incarnation_is_not_alive_after_restart(self):
+        """References to the previous incarnation of an instance are not alive."""
         table = fleet_table(2)
-        former = table.members["entry-2"]
-        table.apply(replace(former, incarnation=9))
-        self.assertFalse(table.is_alive(former.ref))
+        previous = table.members["entry-2"]
+        table.apply(replace(previous, incarnation=9))
+        self.assertFalse(table.is_alive(previous.ref))
 
-    def test_late_news_of_death_does_not_hit_a_newer_state(self):
-        """A judgement that rests on an older state is dropped."""
+    def test_ignores_death_based_on_older_state(self):
+        """A member is not declared dead if its state has changed since."""
         table = fleet_table(2)
         suspected = replace(member(2), state=MemberState.SUSPECT)
         table.apply(suspected)
@@ -62,8 +62,8 @@
         table.declare_dead(suspected)
         self.assertTrue(table.is_alive(member(2).ref))
 
-    def test_joining_and_leaving_do_not_dispatch(self):
-        """An instance that warms up or leaves is ranked for nothing."""
+    def test_does_not_rank_joining_and_leaving_instances(self):
+        """An instance that is joining or leaving dispatches for no service."""
         table = fleet_table(3)
         table.apply(member(2, counter=1, joining=True))
         table.apply(member(3, counter=1, state=MemberState.LEAVING))
@@ -74,42 +74,42 @@
 
 class TestHashRing(unittest.TestCase):
     @given(st.lists(st.tuples(st.booleans(), st.integers(0, 9)), max_size=40))
-    def test_changes_end_as_if_built_anew(self, changes):
+    def test_changed_ring_equals_rebuilt_ring(self, changes):
         """Points inserted and removed one by one equal a ring built at once."""
         ring, present = HashRing(), set()
         for add, number in changes:
             (ring.add if add else ring.remove)(f"e{number}")
             (present.add if add else present.discard)(f"e{number}")
             len(ring)
-        fresh = HashRing()
+        rebuilt = HashRing()
         for name in present:
-            fresh.add(name)
+            rebuilt.add(name)
         for key in range(0, 2**64, 2**58):
-            self.assertEqual(ring.find(key, 3), fresh.find(key, 3))
+            self.assertEqual(ring.find_owners(key, 3), rebuilt.find_owners(key, 3))
 
-    def test_a_death_moves_only_its_own(self):
-        """When one goes, its services move to the next, and no others move."""
+    def test_removal_moves_only_keys_of_that_instance(self):
+        """Services of a removed instance move to its standby, and no others move."""
         ring = HashRing()
         for number in range(9):
             ring.add(f"e{number}")
         keys = range(0, 2**64, 2**55)
-        before = {key: ring.find(key, 2) for key in keys}
+        before = {key: ring.find_owners(key, 2) for key in keys}
         ring.remove("e4")
         for key, (owner, standby) in before.items():
-            now = ring.find(key, 1)[0]
-            self.assertEqual(now, standby if owner == "e4" else owner)
+            new_owner = ring.find_owners(key, 1)[0]
+            self.assertEqual(new_owner, standby if owner == "e4" else owner)
 
-    def test_large_change_is_built_at_once(self):
-        """A thousand members at once give what one by one would."""
+    def test_rebuilds_ring_for_many_changes(self):
+        """A ring holds all of many instances that are added at once."""
         ring = HashRing()
         for number in range(1_000):
             ring.add(f"e{number}")
         self.assertEqual(len(ring), 1_000)
-        self.assertEqual(len(set(ring.find(5, 1_000))), 1_000)
+        self.assertEqual(len(set(ring.find_owners(5, 1_000))), 1_000)
 
 
 class Fleet:
-    """Probers of several instances in virtual time, with a network between."""
+    """Probers of several instances in virtual time, on a simulated network."""
 
     def __init__(self, count, seeds=(1,)):
         self.cut = set()
@@ -145,8 +145,8 @@
 
     def isolate(self, *numbers):
         self.cut = {
-            frozenset((one, other))
-            for one in numbers
+            frozenset((number, other))
+            for number in numbers
             for other in self.tables
             if other not in numbers
         }
@@ -173,8 +173,8 @@
         with asyncio.Runner(loop_factory=VirtualLoop) as runner:
             runner.run(main())
 
-    def test_all_find_each_other_through_one_seed(self):
-        """Instances that know one seed soon know all."""
+    def test_all_instances_join_through_one_seed(self):
+        """Instances that know one seed soon know all others."""
 
         async def scenario(fleet):
             for number in fleet.tables:
@@ -182,8 +182,8 @@
 
         self.run_fleet(scenario)
 
-    def test_death_is_noticed_by_all_in_time(self):
-        """A silent instance is dead everywhere within 2.5 s."""
+    def test_all_instances_detect_a_failure(self):
+        """An unreachable instance is dead everywhere within 2.5 s."""
 
         async def scenario(fleet):
             fleet.isolate(3)
@@ -193,8 +193,8 @@
 
         self.run_fleet(scenario)
 
-    def test_broken_path_between_two_kills_nobody(self):
-        """Two instances that can't reach each other are vouched for by others."""
+    def test_indirect_probes_bypass_a_broken_path(self):
+        """Two instances that can't reach each other directly stay alive."""
 
         async def scenario(fleet):
             fleet.cut = {frozenset((2, 4))}
@@ -204,8 +204,8 @@
 
         self.run_fleet(scenario)
 
-    def test_long_cut_heals_by_itself(self):
-        """After minutes apart both sides find each other again."""
+    def test_rejoins_after_long_partition(self):
+        """After a partition of minutes both sides merge again."""
 
         async def scenario(fleet):
             fleet.isolate(1, 2)
@@ -218,8 +218,8 @@
 
         self.run_fleet(scenario)
 
-    def test_groups_that_never_met_find_each_other(self):
-        """Instances whose first words to the other seed were lost ask it again."""
+    def test_groups_that_started_separately_join(self):
+        """Instances whose first join to the other seed was lost retry it."""
 
         async def scenario(fleet):
             self.assertEqual((fleet.live(1), fleet.live(3)), ([1, 2], [3, 4]))
--- a/tests/registry/test_answers.py
+++ b/tests/registry/test_answers.py
@@ -5,7 +5,7 @@
 
 
 def sums(*runs):
-    """What an entry instance says: label, answers, slow and failed of each run."""
+    """Return a report of label, answers, slow and failed of each run."""
     return AnswerSums(
         runs=[
             AnswerSum(label=label, answers=answers, slow=slow, failed=failed)
@@ -18,81 +18,90 @@
     def setUp(self):
         self.pool, self.other = AnswerPool(), AnswerPool()
 
-    def take(self, source, *runs, now_s=10.0, domain="a", pool=None):
-        (pool or self.pool).take(source, domain, sums(*runs), now_s)
+    def add_report(self, source, *runs, now_s=10.0, domain="a", pool=None):
+        (pool or self.pool).add_report(source, domain, sums(*runs), now_s)
 
-    def test_sums_up_what_instances_see(self):
+    def test_sums_reports_of_all_entry_instances(self):
         """Answers, and instances and failure domains with bad ones, are counted."""
-        self.take(b"1", (7, 3, 1, 0))
-        self.take(b"2", (7, 2, 0, 1), (8, 1, 0, 0))
-        self.take(b"3", (7, 4, 0, 0), domain="b")
-        one = self.pool.evidence(10.1)[7]
+        self.add_report(b"1", (7, 3, 1, 0))
+        self.add_report(b"2", (7, 2, 0, 1), (8, 1, 0, 0))
+        self.add_report(b"3", (7, 4, 0, 0), domain="b")
+        evidence = self.pool.collect_evidence(10.1)[7]
         self.assertEqual(
-            (one.whole.answers, one.whole.slow, one.whole.failed), (9, 1, 1)
+            (evidence.whole.answers, evidence.whole.slow, evidence.whole.failed),
+            (9, 1, 1),
+        )
+        self.assertEqual(
+            (evidence.observers, evidence.domains, evidence.bad_domains), (2, 2, 1)
         )
-        self.assertEqual((one.observers, one.domains, one.bad_domains), (2, 2, 1))
 
-    def test_what_is_past_is_forgotten(self):
-        """A sum leaves the newest part first, then the window."""
-        self.take(b"1", (7, 3, 1, 0))
-        self.assertEqual(self.pool.evidence(10.0 + RECENT_S)[7].recent.answers, 0)
-        self.assertEqual(self.pool.evidence(10.0 + RECENT_S)[7].whole.answers, 3)
-        self.assertEqual(self.pool.evidence(10.0 + WINDOW_S), {})
-        self.assertEqual(self.pool._told, {})
-        self.assertEqual(self.pool.reporters(10.0 + 5.0), [])
+    def test_deletes_expired_reports(self):
+        """A report leaves the newest part first, then the window."""
+        self.add_report(b"1", (7, 3, 1, 0))
+        self.assertEqual(
+            self.pool.collect_evidence(10.0 + RECENT_S)[7].recent.answers, 0
+        )
+        self.assertEqual(
+            self.pool.collect_evidence(10.0 + RECENT_S)[7].whole.answers, 3
+        )
+        self.assertEqual(self.pool.collect_evidence(10.0 + WINDOW_S), {})
+        self.assertEqual(self.pool._reports, {})
+        self.assertEqual(self.pool.list_reporters(10.0 + 5.0), [])
 
-    def test_fresh_answers_and_good_ones_in_a_row(self):
-        """Only what was told later is fresh, and a bad answer ends a row."""
+    def test_counts_fresh_answers_and_good_ones_since_a_bad_one(self):
+        """Only later reports are fresh, and a bad answer resets the count."""
         for step, slow in enumerate((1, 0, 1, 0, 0)):
-            self.take(b"1", (7, 2, slow, 0), now_s=10.0 + 0.2 * step)
-        one = self.pool.evidence(10.9, {7: 10.3})[7]
-        self.assertEqual((one.fresh.answers, one.fresh.slow), (6, 1))
-        self.assertEqual(one.good_since_bad, 4)
+            self.add_report(b"1", (7, 2, slow, 0), now_s=10.0 + 0.2 * step)
+        evidence = self.pool.collect_evidence(10.9, {7: 10.3})[7]
+        self.assertEqual((evidence.fresh.answers, evidence.fresh.slow), (6, 1))
+        self.assertEqual(evidence.good_since_bad, 4)
 
-    def test_slow_entry_instance_counts_for_nothing(self):
-        """To one that is slow itself most runs look slow at once."""
-        self.take(b"slow", *[(label, 1, 1, 0) for label in range(1, 8)])
-        self.take(b"2", *[(label, 2, 0, 0) for label in range(1, 8)])
-        for one in self.pool.evidence(10.1).values():
-            self.assertEqual((one.whole.answers, one.whole.bad), (2, 0))
+    def test_ignores_reports_of_slow_entry_instance(self):
+        """An entry instance that is slow itself reports most runs as slow at once."""
+        self.add_report(b"slow", *[(label, 1, 1, 0) for label in range(1, 8)])
+        self.add_report(b"2", *[(label, 2, 0, 0) for label in range(1, 8)])
+        for evidence in self.pool.collect_evidence(10.1).values():
+            self.assertEqual((evidence.whole.answers, evidence.whole.bad), (2, 0))
 
     def exchange(self, now_s):
-        """Let both control instances tell each other once."""
+        """Send the doubtful runs of both control instances to each other once."""
         pools = (self.pool, self.other)
         for pool in pools:
-            pool.evidence(now_s)
-        told = [pool.doubts(name) for pool, name in zip(pools, "ab", strict=True)]
-        self.pool.take_pooled(b"other", told[1], now_s)
-        self.other.take_pooled(b"pool", told[0], now_s)
-        return [len(one.runs) for one in told]
+            pool.collect_evidence(now_s)
+        messages = [
+            pool.collect_doubtful(name) for pool, name in zip(pools, "ab", strict=True)
+        ]
+        self.pool.store_pooled(b"other", messages[1], now_s)
+        self.other.store_pooled(b"pool", messages[0], now_s)
+        return [len(message.runs) for message in messages]
 
-    def test_doubts_are_told_and_answered(self):
-        """One that has doubts is told what the other saw; nobody else is told."""
-        self.take(b"1", (7, 3, 3, 0), (8, 9, 0, 0))
-        self.take(b"2", (7, 3, 0, 0), (8, 9, 0, 0), domain="b", pool=self.other)
+    def test_sends_doubtful_runs_and_replies_to_doubts(self):
+        """A control instance without doubts sends its sums only of doubted runs."""
+        self.add_report(b"1", (7, 3, 3, 0), (8, 9, 0, 0))
+        self.add_report(b"2", (7, 3, 0, 0), (8, 9, 0, 0), domain="b", pool=self.other)
         self.assertEqual(self.exchange(10.1), [1, 0])
         self.assertEqual(self.exchange(10.3), [1, 1])
         for pool in (self.pool, self.other):
-            one = pool.evidence(10.4)[7]
-            self.assertEqual((one.whole.answers, one.whole.bad), (6, 3))
-            self.assertEqual((one.domains, one.bad_domains), (2, 1))
+            evidence = pool.collect_evidence(10.4)[7]
+            self.assertEqual((evidence.whole.answers, evidence.whole.bad), (6, 3))
+            self.assertEqual((evidence.domains, evidence.bad_domains), (2, 1))
 
-    def test_answering_a_doubt_raises_none(self):
-        """Two that answer each other stop when neither has doubts itself."""
-        self.take(b"1", (7, 3, 3, 0))
-        self.take(b"2", (7, 3, 0, 0), domain="b", pool=self.other)
+    def test_reply_to_a_doubt_raises_no_doubt(self):
+        """The exchange stops when neither control instance has doubts itself."""
+        self.add_report(b"1", (7, 3, 3, 0))
+        self.add_report(b"2", (7, 3, 0, 0), domain="b", pool=self.other)
         self.exchange(10.1)
         self.exchange(10.3)
         later_s = 10.1 + WINDOW_S
         for number, pool in ((1, self.pool), (2, self.other)):
-            self.take(b"%d" % number, (7, 3, 0, 0), now_s=later_s, pool=pool)
+            self.add_report(b"%d" % number, (7, 3, 0, 0), now_s=later_s, pool=pool)
         self.assertEqual(self.exchange(later_s), [0, 0])
 
-    def test_doubts_are_bounded(self):
-        """However many runs are bad, one message tells of the worst."""
+    def test_limits_doubtful_runs_of_a_message(self):
+        """One message holds the worst runs, however many are bad."""
         for label in range(1, 200):
-            self.take(b"%d" % label, (label, label, label, 0))
-        self.pool.evidence(10.0)
-        found = self.pool.doubts("a")
-        self.assertEqual([one.label for one in found.runs][:3], [199, 198, 197])
-        self.assertLess(found.ByteSize(), 1_200)
+            self.add_report(b"%d" % label, (label, label, label, 0))
+        self.pool.collect_evidence(10.0)
+        message = self.pool.collect_doubtful("a")
+        self.assertEqual([run.label for run in message.runs][:3], [199, 198, 197])
+        self.assertLess(message.ByteSize(), 1_200)
--- a/tests/registry/test_dispatchers.py
+++ b/tests/registry/test_dispatchers.py
@@ -4,7 +4,7 @@
 from agatethread.registry._dispatchers import (
     choose_for_domain,
     count_slots,
-    list_heard_by_others,
+    list_serving_at_peers,
 )
 from agatethread.registry._link import HubLink
 from agatethread.registry._subscribers import Subscriber
@@ -18,33 +18,41 @@
 
 
 def entry(domain="a", presence=PRESENCE_SERVING, heard_s=1_000.0):
-    """An entry instance as a control instance knows it."""
-    one = Subscriber()
-    one.failure_domain, one.presence, one.heard_s = domain, presence, heard_s
-    return one
+    """Return an entry instance as a control instance knows it."""
+    subscriber = Subscriber()
+    subscriber.failure_domain, subscriber.presence, subscriber.heard_s = (
+        domain,
+        presence,
+        heard_s,
+    )
+    return subscriber
 
 
-def link(number, domain, told_s=1_000.0, **dispatchers):
-    """A control instance, and whom it names by failure domain."""
-    one = HubLink(address(number), domain)
-    one.dispatchers = tuple(
+def link(number, domain, reported_s=1_000.0, **dispatchers):
+    """Return a control instance that reported dispatchers by failure domain."""
+    control = HubLink(address(number), domain)
+    control.dispatchers = tuple(
         Dispatchers(
-            failure_domain=name, addresses=[address(n) for n in some], entry_count=9
+            failure_domain=name,
+            addresses=[address(n) for n in numbers],
+            entry_count=9,
         )
-        for name, some in dispatchers.items()
+        for name, numbers in dispatchers.items()
     )
-    one.dispatchers_told_s = told_s
-    return one
+    control.dispatchers_told_s = reported_s
+    return control
 
 
-def named(merged):
-    """The addresses by failure domain."""
-    return {domain: list(one.addresses) for domain, one in merged.items()}
+def addresses_by_domain(merged):
+    """Return the addresses by failure domain."""
+    return {
+        domain: list(dispatchers.addresses) for domain, dispatchers in merged.items()
+    }
 
 
 class TestChoice(unittest.TestCase):
-    def test_only_those_that_serve_here_are_chosen(self):
-        """Of another domain, leaving or unheard for a second: none is chosen."""
+    def test_chooses_only_serving_instances_of_the_domain(self):
+        """Instances of other domains, leaving or timed out are not chosen."""
         entries = [(address(n), entry()) for n in range(1, 9)]
         entries += [
             (address(20), entry("b")),
@@ -56,21 +64,21 @@
         self.assertEqual(len(chosen.addresses), 2)
         self.assertLessEqual(set(chosen.addresses), {address(n) for n in range(1, 9)})
 
-    def test_two_control_instances_choose_alike(self):
-        """Each chooses among what both hear, so a domain has one set of dispatchers."""
+    def test_control_instances_of_a_domain_choose_the_same(self):
+        """Each includes the entry instances that poll the other one."""
         entries = [(address(n), entry()) for n in range(1, 17)]
         halves = entries[:9], entries[9:]
         chosen = []
         for own, others in (halves, halves[::-1]):
-            told = link(1, "a")
-            told.serving, told.serving_told_s = [one for one, _ in others], 1_000.0
-            heard = list_heard_by_others("a", [told], 1_000.0)
-            chosen.append(choose_for_domain("a", own, 60, 1_000.0, heard))
+            peer = link(1, "a")
+            peer.serving, peer.serving_told_s = [place for place, _ in others], 1_000.0
+            at_peers = list_serving_at_peers("a", [peer], 1_000.0)
+            chosen.append(choose_for_domain("a", own, 60, 1_000.0, at_peers))
         self.assertEqual(chosen[0], chosen[1])
         self.assertEqual(chosen[0].entry_count, 16)
 
-    def test_slots_of_runs_that_are_there_count(self):
-        """Ended, silent and other domains' runs have no slots."""
+    def test_counts_slots_of_live_runs_of_the_domain(self):
+        """Slots of ended and silent runs and of other domains do not count."""
         runs = [
             BackendRun(failure_domain="a", slots=2),
             BackendRun(failure_domain="a", slots=2, ended=True),
@@ -81,21 +89,27 @@
 
 
 class TestMerge(unittest.TestCase):
-    def test_own_word_goes_first(self):
-        """A domain's own control instance is believed before any other."""
+    def test_prefers_report_of_own_control_instance(self):
+        """A domain's own control instance has precedence over any other."""
         links = [link(1, "a", a=[11], b=[12]), link(2, "b", b=[13])]
         expected = {"a": [address(11)], "b": [address(13)]}
-        self.assertEqual(named(merge_dispatchers(links, 1_000.0)), expected)
-        self.assertEqual(named(merge_dispatchers(links[::-1], 1_000.0)), expected)
+        self.assertEqual(
+            addresses_by_domain(merge_dispatchers(links, 1_000.0)), expected
+        )
+        self.assertEqual(
+            addresses_by_domain(merge_dispatchers(links[::-1], 1_000.0)), expected
+        )
 
-    def test_one_that_names_nobody_is_passed_over(self):
-        """A control instance without entry instances does not speak for its domain."""
+    def test_ignores_report_without_addresses(self):
+        """The report of a control instance without entry instances is not used."""
         links = [link(1, "a", a=[]), link(2, "a", a=[11])]
-        self.assertEqual(named(merge_dispatchers(links, 1_000.0)), {"a": [address(11)]})
+        self.assertEqual(
+            addresses_by_domain(merge_dispatchers(links, 1_000.0)), {"a": [address(11)]}
+        )
 
-    def test_old_word_is_not_used(self):
-        """What was told two seconds ago is not used."""
-        links = [link(1, "a", told_s=997.0, a=[11])]
+    def test_ignores_expired_report(self):
+        """A report older than the timeout is not used."""
+        links = [link(1, "a", reported_s=997.0, a=[11])]
         self.assertEqual(merge_dispatchers(links, 1_000.0), {})
 
 
@@ -107,16 +121,16 @@
             "a", lambda: entries, lambda: runs, lambda: links, clock
         )
 
-    def test_hearsay_is_not_told_on(self):
-        """Two that had a third's word keep nothing of it when the third is gone."""
+    def test_forwards_only_own_choice_of_other_control_instances(self):
+        """Control instances don't forward to each other what a failed one reported."""
         clock = Clock(1_000.0)
         directory = self.make([link(1, "c", c=[31], b=[21])], clock)
         directory.refresh()
-        told = {one.failure_domain for one in directory()}
-        self.assertEqual(told, {"c"})
+        domains = {dispatchers.failure_domain for dispatchers in directory()}
+        self.assertEqual(domains, {"c"})
 
-    def test_fresh_instance_listens_first(self):
-        """One that started chooses nobody before it can have heard all."""
+    def test_started_instance_waits_for_polls_before_it_chooses(self):
+        """It makes no choice before all entry instances can have polled it."""
         clock = Clock(1_000.0)
         directory = self.make([], clock)
         directory.refresh()
--- a/tests/registry/test_evacuations.py
+++ b/tests/registry/test_evacuations.py
@@ -14,10 +14,10 @@
 
 
 class TestEvacuations(unittest.TestCase):
-    """What entry instances know of evacuated failure domains, and when."""
+    """Delivery of evacuations to entry instances."""
 
-    def test_change_is_known_within_one_round(self):
-        """An evacuation and its end each reach the entry instance in 0.1 s."""
+    def test_change_is_received_within_one_round(self):
+        """An evacuation and its end each reach the entry instance in one round."""
         world = World()
         world.step(5)
         world.evacuate(7, "b")
@@ -27,8 +27,8 @@
         world.deliver()
         self.assertEqual(world.evacuated[-1], set())
 
-    def test_older_news_change_nothing(self):
-        """A control instance that missed the order takes nothing back."""
+    def test_ignores_older_version(self):
+        """A control instance that lacks the evacuation does not undo it."""
         world = World()
         world.step(5)
         world.evacuate(7, "b", numbers=[0])
@@ -36,8 +36,8 @@
         world.step(20)
         self.assertEqual(world.evacuated, [{"b"}])
 
-    def test_change_gets_through_losses(self):
-        """With half of all messages lost it is known in the seconds that count."""
+    def test_change_is_received_despite_losses(self):
+        """With half of all messages lost, retries deliver the change."""
         for seed in range(20):
             with self.subTest(seed=seed):
                 world = World(seed=seed)
@@ -47,8 +47,8 @@
                 world.step(20)
                 self.assertEqual(world.evacuated, [{"b"}])
 
-    def test_instance_back_from_a_cut_knows_within_two_rounds(self):
-        """What happened during a cut is told with the first answer after it."""
+    def test_instance_receives_missed_change_after_partition(self):
+        """A change during a partition arrives with the first reply after it."""
         world = World()
         world.step(5)
         world.cut = {world.entry_address}
@@ -59,11 +59,8 @@
         world.step(6)
         self.assertEqual(world.evacuated, [{"b"}])
 
-    def test_table_comes_with_the_evacuations(self):
-        """An instance that has its first table knows where it must not place.
-
-        While they came by a message of their own, that could be lost and the table not.
-        """
+    def test_first_table_includes_evacuations(self):
+        """A lost evacuation message does not leave a first table without them."""
         world = World(("a",))
         world.evacuate(7, "b")
         offer = compressed_table(9)
@@ -75,7 +72,7 @@
         self.assertEqual(world.evacuated, [{"b"}])
 
     def test_acknowledged_change_is_not_sent_again(self):
-        """What everyone knows costs nothing more."""
+        """No bytes are sent once all instances have acknowledged."""
         world = World()
         world.step(5)
         world.evacuate(7, "b")
@@ -87,8 +84,8 @@
 
 
 class TestWaiting(unittest.IsolatedAsyncioTestCase):
-    async def test_wait_ends_when_all_in_sight_know(self):
-        """The operator's answer waits for the entry instances, within its limit."""
+    async def test_wait_ends_when_all_reachable_entries_acknowledged(self):
+        """The operator's reply waits for the entry instances, up to the timeout."""
         world = World(("a",))
         world.step(5)
         publisher = world.publishers[address(0)]
@@ -99,14 +96,14 @@
         world.step(4)
         self.assertTrue(await publisher.wait_until_known(7, 0.01))
 
-    async def test_wait_is_also_for_those_that_others_tell(self):
-        """One of another domain waits for the entry instance that only home tells."""
+    async def test_wait_includes_entries_of_other_control_instances(self):
+        """It includes an entry instance that only its own domain's control serves."""
         world = World(("a", "a", "b", "b"))
         world.step(30)
         publisher = world.publishers[address(2)]
         self.assertEqual(len(list(world.hub(2).entries_in_sight())), 0)
         home = address(0), address(1)
-        world.cut_pairs = {frozenset((world.entry_address, one)) for one in home}
+        world.cut_pairs = {frozenset((world.entry_address, place)) for place in home}
         world.evacuate(7, "b")
         world.deliver()
         self.assertFalse(await publisher.wait_until_known(7, 0.01))
@@ -114,16 +111,16 @@
         world.step(4)
         self.assertTrue(await publisher.wait_until_known(7, 0.01))
 
-    async def test_nobody_in_sight_is_not_waited_for(self):
-        """Without entry instances the order is answered at once."""
+    async def test_does_not_wait_without_reachable_entries(self):
+        """Without entry instances the request is answered at once."""
         world = World(("a",))
         world.evacuate(7, "b")
-        known = await world.publishers[address(0)].wait_until_known(7, 0.01)
-        self.assertTrue(known)
+        is_known = await world.publishers[address(0)].wait_until_known(7, 0.01)
+        self.assertTrue(is_known)
 
 
 class EvacuationMachine(RuleBasedStateMachine):
-    """Orders, losses, cuts and restarts against what the log holds."""
+    """Compares delivered evacuations with the log under losses and partitions."""
 
     layout = ("a", "b", "c")
 
@@ -135,8 +132,8 @@
         self.world.step(5)
 
     @rule(domain=strategies.sampled_from("abc"), behind=strategies.integers(0, 6))
-    def order(self, domain, behind):
-        """Take an order; one control instance may not have it yet."""
+    def change_evacuation(self, domain, behind):
+        """Change an evacuation; one control instance may lack it."""
         self.version += 1
         self.domains ^= {domain}
         count = len(self.layout)
@@ -157,7 +154,7 @@
 
     @rule()
     def heal(self):
-        """Without faults the newest order is in force within 5 s."""
+        """Without faults the newest evacuations are in force after the steps below."""
         self.world.cut, self.world.loss = set(), 0.0
         self.world.evacuate(self.version, *sorted(self.domains))
         self.world.step(20)
@@ -165,14 +162,16 @@
         assert newest == self.domains, (newest, self.domains)
 
     @invariant()
-    def never_goes_back(self):
-        """What is in force is never replaced by something older."""
-        versions = [one.newest.version for one in self.world.publishers.values()]
+    def is_not_newer_than_published(self):
+        """The version in force at the entry instance is a published one."""
+        versions = [
+            publisher.newest.version for publisher in self.world.publishers.values()
+        ]
         assert self.world.entry._evacuations.version <= max(versions)
 
 
 class HomeEvacuationMachine(EvacuationMachine):
-    """The same where the entry instance may follow its own failure domain only."""
+    """Same, where the entry instance may follow its own failure domain only."""
 
     layout = ("a", "a", "b", "b", "c", "c")
 
--- a/tests/registry/test_quality.py
+++ b/tests/registry/test_quality.py
@@ -10,8 +10,8 @@
 from tests.registry.test_answers import sums
 
 RUNS = [run(nth) for nth in range(1, 13)]
-LABELS = [label_of(one.number, one.started_ms) for one in RUNS]
-PEER, STRANGER, ENTRY = address(2), address(9), address(100)
+LABELS = [label_of(each.number, each.started_ms) for each in RUNS]
+PEER, UNKNOWN_SENDER, ENTRY = address(2), address(9), address(100)
 
 
 class TestQualityKeeper(unittest.TestCase):
@@ -28,7 +28,7 @@
             self.counters,
         )
 
-    def play(self, seconds, slow=(), good=0):
+    def simulate(self, seconds, slow=(), good=0):
         """Let four entry instances report each 0.2 s; some runs are slow."""
         for step in range(round(seconds / 0.1)):
             self.clock.value_s += 0.1
@@ -41,80 +41,85 @@
                 self.keeper.on_message(message, address(100 + nth))
             self.keeper.tick()
 
-    def told(self, target=ENTRY):
-        """The percents that an entry instance was told, message by message."""
+    def weights_sent_to(self, target=ENTRY):
+        """Return the weights sent to an entry instance, message by message."""
         return [
-            {LABELS.index(one.label): one.percent for one in message.weights.runs}
-            for message, to in self.sent
-            if to == target and message.WhichOneof("body") == "weights"
+            {LABELS.index(each.label): each.percent for each in message.weights.runs}
+            for message, receiver in self.sent
+            if receiver == target and message.WhichOneof("body") == "weights"
         ]
 
-    def test_nothing_is_told_while_all_is_well(self):
+    def test_sends_nothing_while_all_runs_are_good(self):
         """Neither entry instances nor other control instances get a message."""
-        self.play(3.0)
+        self.simulate(3.0)
         self.assertEqual(self.sent, [])
 
-    def test_slow_run_loses_its_work_and_gets_it_back(self):
-        """Told at once and again each 0.2 s, then step by step, then an empty list."""
-        self.play(1.0)
-        self.play(2.0, slow={3})
-        told = self.told()
-        self.assertEqual([told[0], told[-1]], [{3: 50}, {3: 0}])
-        self.assertGreaterEqual(len(told), 7)
+    def test_slow_run_loses_its_weight_and_regains_it(self):
+        """Weights are sent at once and repeated; recovery ends with empty lists."""
+        self.simulate(1.0)
+        self.simulate(2.0, slow={3})
+        weights = self.weights_sent_to()
+        self.assertEqual([weights[0], weights[-1]], [{3: 50}, {3: 0}])
+        self.assertGreaterEqual(len(weights), 7)
         self.sent.clear()
-        self.play(4.0)
-        told = self.told()
-        self.assertIn({3: 25}, told)
-        self.assertEqual(told[-1], {})
-        self.assertGreaterEqual(told.count({}), 5)
+        self.simulate(4.0)
+        weights = self.weights_sent_to()
+        self.assertIn({3: 25}, weights)
+        self.assertEqual(weights[-1], {})
+        self.assertGreaterEqual(weights.count({}), 5)
         self.sent.clear()
-        self.play(3.0)
+        self.simulate(3.0)
         self.assertEqual(self.sent, [])
         self.assertEqual(self.counters["backend_servers_ejected"], 1)
 
-    def test_doubts_go_to_other_control_instances(self):
-        """They say who has them, and what was seen, and of no other run."""
-        self.play(1.0)
-        self.play(1.0, slow={3})
-        told = [one.pooled for one, target in self.sent if target == PEER]
-        self.assertTrue(2 <= len(told) <= 5)
-        self.assertEqual([one.label for one in told[-1].runs], [LABELS[3]])
-        self.assertTrue(told[-1].runs[0].doubted)
+    def test_sends_only_doubtful_runs_to_other_control_instances(self):
+        """The message holds the sums of the doubtful run, marked as doubted."""
+        self.simulate(1.0)
+        self.simulate(1.0, slow={3})
+        messages = [message.pooled for message, target in self.sent if target == PEER]
+        self.assertTrue(2 <= len(messages) <= 5)
+        self.assertEqual([each.label for each in messages[-1].runs], [LABELS[3]])
+        self.assertTrue(messages[-1].runs[0].doubted)
 
-    def test_service_slow_as_a_whole_condemns_nobody(self):
-        """Where half of all answers are slow, half are usual."""
-        self.play(4.0, slow=set(range(12)), good=1)
-        self.assertEqual(self.told(), [])
+    def test_service_slow_as_a_whole_keeps_its_weights(self):
+        """Where half of the answers of every run are slow, that is usual."""
+        self.simulate(4.0, slow=set(range(12)), good=1)
+        self.assertEqual(self.weights_sent_to(), [])
 
-    def test_third_of_a_service_loses_its_work_at_most(self):
-        """Of twelve runs five are slow; the first four lose their work."""
-        self.play(2.0, slow=set(range(5)))
-        self.assertEqual(max(self.sent_weights()), 4)
+    def test_at_most_a_third_of_a_service_loses_its_weight(self):
+        """Of twelve runs five are slow; only four lose their weight."""
+        self.simulate(2.0, slow=set(range(5)))
+        self.assertEqual(max(self.count_ejected()), 4)
 
-    def test_slow_entry_instances_say_nothing(self):
-        """To all four all runs look slow at once: it is not the runs."""
-        self.play(2.0, slow=set(range(12)))
-        self.assertEqual(self.told(), [])
+    def test_ignores_reports_of_slow_entry_instances(self):
+        """All four entry instances report all runs as slow, so the cause is theirs."""
+        self.simulate(2.0, slow=set(range(12)))
+        self.assertEqual(self.weights_sent_to(), [])
 
-    def sent_weights(self):
-        return [sum(each <= 10 for each in one.values()) for one in self.told()]
+    def count_ejected(self):
+        return [
+            sum(percent <= 10 for percent in weights.values())
+            for weights in self.weights_sent_to()
+        ]
 
-    def test_strangers_are_not_believed(self):
-        """Neither an entry instance nor a control instance that nobody knows."""
-        self.keeper.on_message(RegistryMessage(answers=sums((1, 9, 9, 0))), STRANGER)
+    def test_ignores_unknown_senders(self):
+        """Reports of unknown entry instances and control instances are ignored."""
+        self.keeper.on_message(
+            RegistryMessage(answers=sums((1, 9, 9, 0))), UNKNOWN_SENDER
+        )
         self.assertEqual(self.counters["answers_from_strangers"], 1)
         pooled = RegistryMessage()
         pooled.pooled.runs.add(label=LABELS[3], answers=9, slow=9, observers=4)
-        self.keeper.on_message(pooled, STRANGER)
+        self.keeper.on_message(pooled, UNKNOWN_SENDER)
         self.keeper.tick()
         self.assertEqual(self.keeper.dump(), [])
 
-    def test_run_that_leaves_is_judged_no_more(self):
-        """What drains or has ended is left out, and counts for no share."""
-        self.play(1.0)
-        self.play(1.0, slow={3})
+    def test_draining_run_is_not_judged(self):
+        """A run that drains is left out of the judgement."""
+        self.simulate(1.0)
+        self.simulate(1.0, slow={3})
         self.assertIsNot(self.keeper.quality_of(LABELS[3]), Quality.GOOD)
         RUNS[3].draining = True
         self.addCleanup(RUNS[3].ClearField, "draining")
-        self.play(0.2, slow={3})
+        self.simulate(0.2, slow={3})
         self.assertIs(self.keeper.quality_of(LABELS[3]), Quality.GOOD)
--- a/tests/registry/test_sightings.py
+++ b/tests/registry/test_sightings.py
@@ -1,7 +1,7 @@
 import unittest
 
 from agatethread.registry import SightingPool
-from agatethread.registry._sightings import KEPT_S
+from agatethread.registry._sightings import RETENTION_S
 from agatethread.wire.registry_pb2 import Sighting
 
 
@@ -13,60 +13,60 @@
     def setUp(self):
         self.pool = SightingPool()
 
-    def take(self, source, domain="a", now_s=10.0, **fields):
+    def store(self, source, domain="a", now_s=10.0, **fields):
         self.pool.take(source, domain, [sighting(**fields)], now_s)
 
     def digest(self, now_s=10.0):
         return list(self.pool.digest(now_s).runs)
 
-    def test_sums_up_what_instances_see(self):
+    def test_sums_sightings_of_all_entry_instances(self):
         """Flows, instances and failure domains are counted, each instance once."""
-        self.take(b"1", "a", silent_ms=300)
-        self.take(b"2", "a", waiting=2, silent_ms=900)
-        self.take(b"3", "b")
-        self.take(b"3", "b")
-        (one,) = self.digest()
-        self.assertEqual((one.waiting, one.observers, one.domains), (4, 3, 2))
-        self.assertEqual(one.silent_ms, 900)
+        self.store(b"1", "a", silent_ms=300)
+        self.store(b"2", "a", waiting=2, silent_ms=900)
+        self.store(b"3", "b")
+        self.store(b"3", "b")
+        (total,) = self.digest()
+        self.assertEqual((total.waiting, total.observers, total.domains), (4, 3, 2))
+        self.assertEqual(total.silent_ms, 900)
 
-    def test_one_answer_goes_before_all_silence(self):
-        """How long a run is silent counts from the last answer that anybody saw."""
-        self.take(b"1", silent_ms=900, waiting=2)
-        self.take(b"2", silent_ms=800)
-        self.take(b"3", waiting=0, silent_ms=100)
-        (one,) = self.digest()
-        self.assertEqual((one.observers, one.silent_ms), (2, 100))
+    def test_silence_counts_from_last_answer_at_any_instance(self):
+        """A single answer has precedence over all waiting flows."""
+        self.store(b"1", silent_ms=900, waiting=2)
+        self.store(b"2", silent_ms=800)
+        self.store(b"3", waiting=0, silent_ms=100)
+        (total,) = self.digest()
+        self.assertEqual((total.observers, total.silent_ms), (2, 100))
 
-    def test_time_since_an_answer_grows(self):
-        """An answer that was seen half a second ago says less by now."""
-        self.take(b"1", silent_ms=900, waiting=2)
-        self.take(b"2", silent_ms=900)
-        self.take(b"3", waiting=0, silent_ms=100)
-        (one,) = self.digest(10.5)
-        self.assertEqual(one.silent_ms, 600)
+    def test_time_since_last_answer_increases(self):
+        """The age of a sighting is added to the time since its answer."""
+        self.store(b"1", silent_ms=900, waiting=2)
+        self.store(b"2", silent_ms=900)
+        self.store(b"3", waiting=0, silent_ms=100)
+        (total,) = self.digest(10.5)
+        self.assertEqual(total.silent_ms, 600)
 
-    def test_what_is_not_said_again_is_forgotten(self):
-        """A silence does not grow by itself, and is gone when it was not renewed."""
-        self.take(b"1", silent_ms=300, waiting=2)
-        self.take(b"2", silent_ms=300)
-        (one,) = self.digest(10.2)
-        self.assertEqual(one.silent_ms, 300)
-        self.assertEqual(self.digest(10.0 + KEPT_S + 0.1), [])
-        self.assertEqual(self.pool._seen, {})
+    def test_deletes_sighting_that_is_not_repeated(self):
+        """A silence does not increase by itself, and expires without repetition."""
+        self.store(b"1", silent_ms=300, waiting=2)
+        self.store(b"2", silent_ms=300)
+        (total,) = self.digest(10.2)
+        self.assertEqual(total.silent_ms, 300)
+        self.assertEqual(self.digest(10.0 + RETENTION_S + 0.1), [])
+        self.assertEqual(self.pool._by_label, {})
 
-    def test_digest_is_bounded(self):
-        """However many runs are silent, one message tells of a few."""
+    def test_limits_runs_of_a_digest(self):
+        """One message holds the runs with the most waiting flows."""
         for label in range(1, 200):
-            self.take(b"1", label=label, waiting=label)
-            self.take(b"2", label=label, waiting=label)
-        found = self.digest()
-        self.assertEqual([one.label for one in found], list(range(199, 183, -1)))
+            self.store(b"1", label=label, waiting=label)
+            self.store(b"2", label=label, waiting=label)
+        runs = self.digest()
+        self.assertEqual([each.label for each in runs], list(range(199, 183, -1)))
         self.assertLess(self.pool.digest(10.0).ByteSize(), 300)
 
-    def test_nobody_is_told_what_nobody_would_act_on(self):
-        """Too few flows, one instance only, or answers alone."""
-        self.take(b"1", label=1, waiting=1)
-        self.take(b"2", label=1, waiting=1)
-        self.take(b"1", label=2, waiting=9)
-        self.take(b"1", label=3, waiting=0)
+    def test_digest_omits_runs_below_the_thresholds(self):
+        """Too few flows, a single instance, and answers alone are left out."""
+        self.store(b"1", label=1, waiting=1)
+        self.store(b"2", label=1, waiting=1)
+        self.store(b"1", label=2, waiting=9)
+        self.store(b"1", label=3, waiting=0)
         self.assertEqual(self.digest(), [])
--- a/tests/registry/test_sums.py
+++ b/tests/registry/test_sums.py
@@ -6,7 +6,7 @@
 from agatethread.registry import SightingPool
 from agatethread.wire.registry_pb2 import Sighting
 
-sighted = st.builds(
+sighting_strategy = st.builds(
     Sighting,
     label=st.integers(1, 3),
     waiting=st.integers(0, 4),
@@ -15,36 +15,38 @@
 
 
 def by_label(digest):
-    """Sightings by label: runs with as many flows come in no particular order."""
-    return {one.label: one.SerializeToString() for one in digest.runs}
+    """Return sightings by label; runs with equally many flows have no set order."""
+    return {each.label: each.SerializeToString() for each in digest.runs}
 
 
 class TestSums(unittest.TestCase):
-    @given(st.lists(st.tuples(st.integers(1, 6), st.sampled_from("ab"), sighted)))
-    def test_sums_tell_what_each_would(self, seen):
-        """With the other domain's sums the digest is that of one that hears all."""
+    @given(
+        st.lists(st.tuples(st.integers(1, 6), st.sampled_from("ab"), sighting_strategy))
+    )
+    def test_sums_give_the_same_digest_as_single_sightings(self, sightings):
+        """A pool with the other domain's sums equals one with all sightings."""
         whole, home, away = SightingPool(), SightingPool(), SightingPool()
-        for number, domain, one in seen:
+        for number, domain, sighting in sightings:
             source = f"{domain}{number}".encode()
-            whole.take(source, domain, [one], 10.0)
+            whole.take(source, domain, [sighting], 10.0)
             pool = home if domain == "a" else away
-            pool.take(source, domain, [one], 10.0)
+            pool.take(source, domain, [sighting], 10.0)
         home.take_sums("b", away.sum_up_domain("b", 10.0).runs, 10.0)
         self.assertEqual(*(by_label(pool.digest(10.0)) for pool in (home, whole)))
 
-    def test_nothing_counts_twice(self):
-        """An entry instance that is in a sum and heard besides counts once."""
+    def test_counts_instance_in_sum_and_direct_sighting_once(self):
+        """An entry instance may be part of a sum and send its sightings directly."""
         home, away = SightingPool(), SightingPool()
         for number in range(3):
-            one = Sighting(label=1, waiting=2, silent_ms=500)
-            away.take(b"%d" % number, "b", [one], 10.0)
+            sighting = Sighting(label=1, waiting=2, silent_ms=500)
+            away.take(b"%d" % number, "b", [sighting], 10.0)
         home.take(b"1", "b", [Sighting(label=1, waiting=2, silent_ms=500)], 10.0)
         home.take_sums("b", away.sum_up_domain("b", 10.0).runs, 10.0)
-        (one,) = home.digest(10.0).runs
-        self.assertEqual((one.waiting, one.observers, one.domains), (6, 3, 1))
+        (total,) = home.digest(10.0).runs
+        self.assertEqual((total.waiting, total.observers, total.domains), (6, 3, 1))
 
-    def test_sum_that_is_not_said_again_is_forgotten(self):
-        """A sum is as old as its parts already."""
+    def test_deletes_sum_that_is_not_repeated(self):
+        """A sum expires sooner than a sighting, since its parts are older."""
         home = SightingPool()
         home.take_sums("b", [Sighting(label=1, waiting=9, observers=4)], 10.0)
         self.assertEqual(len(home.digest(10.2).runs), 1)
--- a/tests/registry/test_traffic.py
+++ b/tests/registry/test_traffic.py
@@ -1,7 +1,7 @@
 import unittest
 
 from agatethread.observability import Counters
-from agatethread.registry._traffic import TrafficCount, name_purpose
+from agatethread.registry._traffic import TrafficCounter, name_purpose
 from agatethread.wire.registry_pb2 import (
     BackendRun,
     Delta,
@@ -17,10 +17,10 @@
 class TestTraffic(unittest.TestCase):
     def setUp(self):
         self.counters = Counters()
-        self.traffic = TrafficCount("a", self.counters)
+        self.traffic = TrafficCounter("a", self.counters)
 
-    def test_each_message_has_a_purpose(self):
-        """Polls and deltas are told apart by what they are for."""
+    def test_names_purpose_of_each_message(self):
+        """Polls and deltas are distinguished by their purpose."""
         run = BackendRun(id="i-1")
         expected = {
             "poll": RegistryMessage(poll=Poll(wants_reply=True)),
@@ -33,23 +33,25 @@
         for purpose, message in expected.items():
             self.assertEqual(name_purpose(message), purpose)
 
-    def test_place_is_what_the_receiver_said_of_itself(self):
-        """Counts are kept apart by role and failure domain, and for strangers."""
+    def test_counts_by_reported_place_of_receiver(self):
+        """Counts are separate by role and failure domain, and for unknown receivers."""
         poll = Poll(failure_domain="b", is_control=True)
-        self.traffic.note(RegistryMessage(poll=poll), address(1))
-        self.traffic.note(RegistryMessage(poll=Poll(failure_domain="a")), address(2))
-        placing = Dispatchers(failure_domain="b", addresses=[address(3)])
-        delta = Delta(failure_domain="a", hub=HubState(dispatchers=[placing]))
-        self.traffic.note(RegistryMessage(delta=delta), address(4))
+        self.traffic.store_places(RegistryMessage(poll=poll), address(1))
+        self.traffic.store_places(
+            RegistryMessage(poll=Poll(failure_domain="a")), address(2)
+        )
+        dispatchers = Dispatchers(failure_domain="b", addresses=[address(3)])
+        delta = Delta(failure_domain="a", hub=HubState(dispatchers=[dispatchers]))
+        self.traffic.store_places(RegistryMessage(delta=delta), address(4))
         places = "control_away", "entry_home", "entry_away", "control_home", "unknown"
         for number, place in enumerate(places, 1):
             self.traffic.count("poll", 10 * number, address(number))
             self.assertEqual(self.counters[f"sent_poll_{place}"], 1)
             self.assertEqual(self.counters[f"sent_bytes_poll_{place}"], 10 * number)
 
-    def test_strangers_take_a_bounded_memory(self):
-        """Any number of senders is heard of; a few thousand are remembered."""
+    def test_limits_stored_addresses(self):
+        """Messages of any number of senders use bounded memory."""
         for number in range(5_000):
             message = RegistryMessage(poll=Poll(failure_domain="b"))
-            self.traffic.note(message, address(number))
+            self.traffic.store_places(message, address(number))
         self.assertLessEqual(len(self.traffic._places), 4_096)
