--- a/src/agatethread/cli/__init__.py
+++ b/src/agatethread/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon's and the operators' commands."""
+"""The daemon and the operators' command line."""
 
 from agatethread.cli._calls import (
     ControlTarget,
--- a/src/agatethread/cli/_calls.py
+++ b/src/agatethread/cli/_calls.py
@@ -1,4 +1,4 @@
-"""The operators' calls, each to whichever control instance can answer it."""
+"""gRPC calls of the operators' command to control instances."""
 
 import asyncio
 import json
@@ -28,10 +28,10 @@
 )
 from agatethread.wire.control_pb2_grpc import ControlStub, InspectionStub
 
-_RETRY_S = 0.1
-_POLL_S = 0.05
+_RETRY_DELAY_S = 0.1
+_POLL_INTERVAL_S = 0.05
 _CALL_TIMEOUT_S = 2.0
-#: Every instance is asked at once, so one that hangs must not hold up the rest.
+#: Short, because the reply of the slowest instance is awaited.
 _STATUS_TIMEOUT_S = 0.7
 
 _Reply = TypeVar("_Reply")
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class ControlTarget:
-    """Where the control instances are and how to reach them."""
+    """Addresses of the control instances and how to connect to them."""
 
     addresses: tuple[str, ...]
     timeout_s: float
@@ -53,16 +53,16 @@
         return await call(channel)
 
 
-async def _first_answer(
+async def _call_until_answered(
     target: ControlTarget, call: Callable[[Any], Awaitable[_Reply]]
 ) -> _Reply:
-    """Call one control instance after the other, following the leader, in time."""
+    """Try the control instances in turn, following redirects to the leader."""
     deadline_s = time.monotonic() + target.timeout_s
     candidates = list(target.addresses)
-    why = "no address"
+    last_error = "no address"
     while time.monotonic() < deadline_s:
         if not candidates:
-            await asyncio.sleep(_RETRY_S)
+            await asyncio.sleep(_RETRY_DELAY_S)
             candidates = list(target.addresses)
         address = candidates.pop(0)
         try:
@@ -72,16 +72,20 @@
                 raise ChangeRefusedError(
                     f"no such service: {error.details()}"
                 ) from None
-            why = f"{address}: {error.code().name} {error.details()}"
-            is_pointer = error.code() == grpc.StatusCode.FAILED_PRECONDITION
-            if is_pointer and error.details() and error.details() not in candidates[:1]:
+            last_error = f"{address}: {error.code().name} {error.details()}"
+            is_redirect = error.code() == grpc.StatusCode.FAILED_PRECONDITION
+            if (
+                is_redirect
+                and error.details()
+                and error.details() not in candidates[:1]
+            ):
                 candidates.insert(0, error.details())
-                await asyncio.sleep(_POLL_S)
-    raise UnavailableError(f"no answer in {target.timeout_s} s; last: {why}")
+                await asyncio.sleep(_POLL_INTERVAL_S)
+    raise UnavailableError(f"no answer in {target.timeout_s} s; last: {last_error}")
 
 
 async def apply_command(target: ControlTarget, command: Command) -> Outcome:
-    """Have a change accepted; it is sent again under its id until there is an answer.
+    """Send a change, and retry it under the same id until it is answered.
 
     Parameters
     ----------
@@ -93,23 +97,23 @@
     Returns
     -------
     Outcome
-        An accepted one.
+        Outcome of the accepted change.
 
     Raises
     ------
     VersionConflictError
-        If another change holds the version.
+        If another change already has the version.
     ChangeRefusedError
-        If it is refused for another reason.
+        If the change is refused for another reason.
     UnavailableError
-        If nobody answered in time; the change may have been accepted all the same.
+        If no control instance answered in time; the change may have been accepted.
     """
     request = ApplyRequest(command=command.SerializeToString(deterministic=True))
 
     async def call(channel: grpc.aio.Channel) -> Outcome:
         return await ControlStub(channel).Apply(request, timeout=_CALL_TIMEOUT_S)
 
-    outcome = await _first_answer(target, call)
+    outcome = await _call_until_answered(target, call)
     if outcome.accepted:
         return outcome
     if outcome.winner_change_id or outcome.current_version:
@@ -121,14 +125,14 @@
 
 
 async def get_document(target: ControlTarget, service: str) -> DocumentRecord:
-    """Read a service document as kept.
+    """Return the stored document of a service.
 
     Parameters
     ----------
     target : ControlTarget
         The control instances.
     service : str
-        The service.
+        Name of the service.
 
     Returns
     -------
@@ -138,20 +142,20 @@
     Raises
     ------
     ChangeRefusedError
-        If there is none.
+        If there is no such service.
     UnavailableError
-        If nobody answered in time.
+        If no control instance answered in time.
     """
 
     async def call(channel: grpc.aio.Channel) -> DocumentRecord:
         request = GetRequest(service=service)
         return await ControlStub(channel).Get(request, timeout=_CALL_TIMEOUT_S)
 
-    return await _first_answer(target, call)
+    return await _call_until_answered(target, call)
 
 
 async def all_statuses(target: ControlTarget) -> list[StatusReply]:
-    """Ask every control instance for its status.
+    """Query the status of every control instance.
 
     Parameters
     ----------
@@ -161,12 +165,12 @@
     Returns
     -------
     list of StatusReply
-        From those that answered.
+        Replies of the instances that answered.
 
     Raises
     ------
     UnavailableError
-        If none did.
+        If no control instance answered.
     """
 
     async def call(channel: grpc.aio.Channel) -> StatusReply:
@@ -174,8 +178,8 @@
             StatusRequest(), timeout=_STATUS_TIMEOUT_S
         )
 
-    asked = [_call(target, address, call) for address in target.addresses]
-    replies = await asyncio.gather(*asked, return_exceptions=True)
+    calls = [_call(target, address, call) for address in target.addresses]
+    replies = await asyncio.gather(*calls, return_exceptions=True)
     statuses = [reply for reply in replies if isinstance(reply, StatusReply)]
     if not statuses:
         raise UnavailableError("no control instance answered")
@@ -183,7 +187,7 @@
 
 
 async def wait_in_force(
-    target: ControlTarget, index: int, limit_s: float
+    target: ControlTarget, index: int, timeout_s: float
 ) -> tuple[float, list[dict[str, Any]]]:
     """Wait until every connected entry instance has applied a change.
 
@@ -193,35 +197,36 @@
         The control instances.
     index : int
         Log index of the change.
-    limit_s : float
-        Longest time to wait.
+    timeout_s : float
+        Maximum time to wait.
 
     Returns
     -------
     tuple of (float, list of dict)
-        Seconds waited, and the instances that lag with the reason.
+        Seconds waited, and the instances that have not applied the change, each with
+        the reason.
 
     Raises
     ------
     UnavailableError
-        If no control instance answered the last time that they were asked.
+        If no control instance answered the last query before the timeout.
     """
     started_s = time.monotonic()
     while True:
         statuses, error = await _try_all_statuses(target)
         laggards = _laggards(statuses, index)
         elapsed_s = time.monotonic() - started_s
-        if elapsed_s >= limit_s and error is not None:
+        if elapsed_s >= timeout_s and error is not None:
             raise error
-        if (not laggards and error is None) or elapsed_s >= limit_s:
+        if (not laggards and error is None) or elapsed_s >= timeout_s:
             return elapsed_s, laggards
-        await asyncio.sleep(_POLL_S)
+        await asyncio.sleep(_POLL_INTERVAL_S)
 
 
 async def _try_all_statuses(
     target: ControlTarget,
 ) -> tuple[list[StatusReply], UnavailableError | None]:
-    # The change was accepted; that nobody answers for a moment does not undo it.
+    # Errors are retried: the change was accepted, so a brief outage does not matter.
     try:
         return await all_statuses(target), None
     except UnavailableError as error:
@@ -229,45 +234,47 @@
 
 
 def _laggards(statuses: list[StatusReply], index: int) -> list[dict[str, Any]]:
-    best: dict[str, Any] = {}
+    newest: dict[str, Any] = {}
     for status in statuses:
         for watcher in status.watchers:
-            known = best.get(watcher.instance)
-            if known is None or watcher.applied_index >= known.applied_index:
-                best[watcher.instance] = watcher
+            previous = newest.get(watcher.instance)
+            if previous is None or watcher.applied_index >= previous.applied_index:
+                newest[watcher.instance] = watcher
     rows = []
-    for name in sorted(best):
-        watcher = best[name]
+    for name in sorted(newest):
+        watcher = newest[name]
         if watcher.applied_index >= index:
             continue
-        why = "behind" if watcher.connected else "not connected"
+        reason = "behind" if watcher.connected else "not connected"
         rows.append(
-            {"instance": name, "applied_index": watcher.applied_index, "why": why}
+            {"instance": name, "applied_index": watcher.applied_index, "why": reason}
         )
     return rows
 
 
 async def dump_instance(target: ControlTarget, instance: str) -> dict[str, Any]:
-    """Read an instance's whole state.
+    """Return the state dump of an instance.
 
     Parameters
     ----------
     target : ControlTarget
-        The control instances, to look a name up.
+        The control instances, which resolve a name to its address.
     instance : str
         Name or gRPC address.
 
     Returns
     -------
     dict
-        Its dump.
+        The dump.
 
     Raises
     ------
     UnavailableError
-        If it is not known or did not answer.
+        If the instance is unknown or did not answer.
     """
-    address = instance if ":" in instance else await _find_admin(target, instance)
+    address = (
+        instance if ":" in instance else await _query_admin_address(target, instance)
+    )
 
     async def call(channel: grpc.aio.Channel) -> Any:
         return await InspectionStub(channel).Dump(
@@ -281,7 +288,7 @@
     return json.loads(reply.json)
 
 
-async def _find_admin(target: ControlTarget, instance: str) -> str:
+async def _query_admin_address(target: ControlTarget, instance: str) -> str:
     for status in await all_statuses(target):
         for watcher in status.watchers:
             if watcher.instance == instance and watcher.admin:
--- a/src/agatethread/cli/_changes.py
+++ b/src/agatethread/cli/_changes.py
@@ -1,4 +1,4 @@
-"""Operators' commands that change what the fleet does."""
+"""Operators' commands that change the configuration of the fleet."""
 
 import argparse
 import uuid
@@ -11,7 +11,7 @@
 
 
 async def apply_document(options: argparse.Namespace, target: ControlTarget) -> int:
-    """Put a service document in force.
+    """Apply a service document.
 
     Parameters
     ----------
@@ -44,12 +44,12 @@
         options, data, f"accepted {document.service} version {document.version}"
     )
     if options.wait_s:
-        return await wait_and_tell(options, target, outcome.index)
+        return await wait_and_report(options, target, outcome.index)
     return EXIT_DONE
 
 
-async def drain_name(options: argparse.Namespace, target: ControlTarget) -> int:
-    """Give an instance or backend server no new work, or give it work again.
+async def set_draining(options: argparse.Namespace, target: ControlTarget) -> int:
+    """Drain an instance or backend server, or put it back in service.
 
     Parameters
     ----------
@@ -68,11 +68,11 @@
         set_drain=change, change_id=options.change_id or str(uuid.uuid4())
     )
     outcome = await apply_command(target, command)
-    word = "back in service" if options.undo else "draining"
+    state = "back in service" if options.undo else "draining"
     data = {"name": options.name, "draining": not options.undo, "index": outcome.index}
-    print_result(options, data, f"{options.name} {word}")
+    print_result(options, data, f"{options.name} {state}")
     if options.wait_s:
-        return await wait_and_tell(options, target, outcome.index)
+        return await wait_and_report(options, target, outcome.index)
     return EXIT_DONE
 
 
@@ -84,20 +84,20 @@
         set_evacuation=change, change_id=options.change_id or str(uuid.uuid4())
     )
     outcome = await apply_command(target, command)
-    word = "evacuated" if evacuated else "back in service"
+    state = "evacuated" if evacuated else "back in service"
     data = {
         "failure_domain": options.domain,
         "evacuated": evacuated,
         "index": outcome.index,
     }
-    print_result(options, data, f"{options.domain} {word}")
+    print_result(options, data, f"{options.domain} {state}")
     if options.wait_s:
-        return await wait_and_tell(options, target, outcome.index)
+        return await wait_and_report(options, target, outcome.index)
     return EXIT_DONE
 
 
 async def evacuate_domain(options: argparse.Namespace, target: ControlTarget) -> int:
-    """Give a failure domain's backend servers no new work.
+    """Evacuate a failure domain: its backend servers get no new work.
 
     Parameters
     ----------
@@ -115,7 +115,7 @@
 
 
 async def readmit_domain(options: argparse.Namespace, target: ControlTarget) -> int:
-    """Give a failure domain's backend servers work again.
+    """End the evacuation of a failure domain.
 
     Parameters
     ----------
@@ -132,10 +132,10 @@
     return await _set_evacuation(options, target, evacuated=False)
 
 
-async def wait_and_tell(
+async def wait_and_report(
     options: argparse.Namespace, target: ControlTarget, index: int
 ) -> int:
-    """Wait until a change is in force, and tell who lags.
+    """Wait until a change is in force, and print the instances that lag.
 
     Parameters
     ----------
--- a/src/agatethread/cli/_ctl.py
+++ b/src/agatethread/cli/_ctl.py
@@ -1,4 +1,4 @@
-"""``agatethreadctl``: the operators' command."""
+"""``agatethreadctl``: command line for operators."""
 
 import argparse
 import asyncio
@@ -14,10 +14,10 @@
 from agatethread.cli._calls import all_statuses as read_statuses
 from agatethread.cli._changes import (
     apply_document,
-    drain_name,
     evacuate_domain,
     readmit_domain,
-    wait_and_tell,
+    set_draining,
+    wait_and_report,
 )
 from agatethread.cli._policies import describe_policies, read_policies
 from agatethread.cli._results import (
@@ -27,7 +27,7 @@
     print_result,
 )
 from agatethread.cli._story import explain, read_logs
-from agatethread.cli._story_text import describe_story
+from agatethread.cli._story_text import format_explanation
 from agatethread.exceptions import (
     AgatethreadError,
     DocumentError,
@@ -42,7 +42,7 @@
 )
 from agatethread.wire.control_pb2 import StatusReply
 
-#: Commands that need no control instance.
+#: Commands that do not connect to control instances.
 _LOCAL_COMMANDS = ("check", "explain", "policies")
 
 Handler = Callable[[argparse.Namespace, ControlTarget], Awaitable[int]]
@@ -65,7 +65,7 @@
     statuses = await read_statuses(target)
     newest = max(status.last_change_index for status in statuses)
     if options.wait_s:
-        return await wait_and_tell(options, target, newest)
+        return await wait_and_report(options, target, newest)
 
     control, entry = _control_rows(statuses), _entry_rows(statuses)
     services = sorted({name for status in statuses for name in status.services})
@@ -146,16 +146,16 @@
             files.enter_context(open(name, encoding="utf-8", errors="replace"))
             for name in options.logs
         )
-    story = explain(logs, options.name)
+    explanation = explain(logs, options.name)
     data = {
-        "cause": story.cause,
-        "deciding": story.deciding.fields if story.deciding else None,
-        "lines": [line.fields for line in story.lines],
+        "cause": explanation.cause,
+        "deciding": explanation.deciding.fields if explanation.deciding else None,
+        "lines": [line.fields for line in explanation.lines],
         "unreadable_lines": logs.unreadable_count,
         "left_out_lines": logs.left_out_count,
     }
-    print_result(options, data, describe_story(story))
-    return EXIT_DONE if story.lines else EXIT_REFUSED
+    print_result(options, data, format_explanation(explanation))
+    return EXIT_DONE if explanation.lines else EXIT_REFUSED
 
 
 async def _policies(options: argparse.Namespace, _: ControlTarget) -> int:
@@ -221,7 +221,7 @@
     drain = _add_command(
         commands,
         "drain",
-        drain_name,
+        set_draining,
         "give an instance or endpoint no new work",
         "drain tab-3",
     )
@@ -256,7 +256,7 @@
         commands,
         "explain",
         _explain,
-        "tell from logs what became of a flow, a run or a version",
+        "explain from logs what happened to a flow, a run or a version",
         "explain '10.0.0.7:40001' edge-*.log core-*.log",
     )
     explain_command.add_argument(
@@ -267,12 +267,16 @@
         commands,
         "policies",
         _policies,
-        "print what instances decide by, in force or as a file says",
+        "print the policies in force at an instance, or those of a file",
         "policies --at 10.1.0.10:9464",
     )
-    source = policies.add_mutually_exclusive_group()
-    source.add_argument("--at", default="", metavar="IP:PORT", help="metrics address")
-    source.add_argument("--file", default="", metavar="FILE", help="file of policies")
+    source_group = policies.add_mutually_exclusive_group()
+    source_group.add_argument(
+        "--at", default="", metavar="IP:PORT", help="metrics address"
+    )
+    source_group.add_argument(
+        "--file", default="", metavar="FILE", help="file of policies"
+    )
     for command in (apply, drain, evacuate, readmit):
         command.add_argument("--change-id", default="", help="to send a change again")
     for command in (apply, drain, evacuate, readmit, status):
@@ -291,17 +295,17 @@
         if not options.control:
             fault = FieldError("command line", "--control", "", "an address")
             raise SettingsError("command line has faults", [fault])
-    targets = tuple(part for part in options.control.split(",") if part)
-    return ControlTarget(targets, options.timeout_s, tls)
+    addresses = tuple(part for part in options.control.split(",") if part)
+    return ControlTarget(addresses, options.timeout_s, tls)
 
 
 def run_ctl(arguments: list[str] | None = None) -> None:
-    """Run one operators' command.
+    """Run one command of an operator and exit with its code.
 
     Parameters
     ----------
     arguments : list of str, optional
-        Command line without the program's name.
+        Command line arguments without the program's name.
     """
     options = _make_parser().parse_args(arguments)
     try:
--- a/src/agatethread/cli/_daemon.py
+++ b/src/agatethread/cli/_daemon.py
@@ -1,4 +1,4 @@
-"""``agatethread``: one process with the roles that its settings name."""
+"""``agatethread``: a process with the roles that its settings list."""
 
 import argparse
 import sys
@@ -25,7 +25,7 @@
 
 
 class Daemon(Service):
-    """All the roles of one process.
+    """Service that runs all roles of a process.
 
     Parameters
     ----------
@@ -47,7 +47,7 @@
             self._entry = EntryInstance(settings, self._counters)
 
     async def on_start(self) -> None:
-        """Start the roles, and last what others reach them by."""
+        """Start the roles, then the admin server and the metrics endpoint."""
         gauges = {}
         if self._control is not None:
             await self.add_runtime_dependency(self._control)
@@ -59,7 +59,7 @@
         log.info("ready", roles=",".join(self._settings.roles))
 
     async def on_stop(self) -> None:
-        """Let the entry role finish its operations first."""
+        """Wait until the entry role has finished its operations."""
         if self._entry is not None:
             await self._entry.leave()
 
@@ -90,12 +90,12 @@
 
 
 def run_daemon(arguments: list[str] | None = None) -> None:
-    """Run the daemon until it is told to stop.
+    """Run the daemon until it is stopped by a signal.
 
     Parameters
     ----------
     arguments : list of str, optional
-        Command line without the program's name.
+        Command line arguments without the program's name.
     """
     options = _parse_arguments(arguments)
     try:
--- a/src/agatethread/cli/_policies.py
+++ b/src/agatethread/cli/_policies.py
@@ -1,4 +1,4 @@
-"""What instances decide by: read from a running instance, or from a file."""
+"""Read policies from a running instance or a file, and list them."""
 
 import asyncio
 import json
@@ -15,22 +15,22 @@
     policy_fields,
 )
 
-#: An instance answers from memory; longer than this it does not run.
-_ANSWER_LIMIT_S = 5.0
+#: Generous, since an instance answers from memory.
+_HTTP_TIMEOUT_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class PolicyRow:
-    """One policy as an operator reads it."""
+    """One policy, as printed for an operator."""
 
     name: str
     value: object
-    #: Whether it is the default, off, or set to something else.
+    #: Describes whether the value is the default, the off value or another one.
     state: str
 
 
 async def read_policies(address: str, path: str) -> Policies:
-    """Read the policies in force at an instance, or those of a file.
+    """Return the policies in force at an instance, or those of a file.
 
     Parameters
     ----------
@@ -49,48 +49,52 @@
     SettingsError
         If the file or the address has faults.
     UnavailableError
-        If the instance does not answer, or tells no policies.
+        If the instance does not answer, or its state lacks policies.
     """
     if address:
-        return await asyncio.to_thread(_ask, address)
+        return await asyncio.to_thread(_query_policies, address)
     return load_policies(path) if path else DEFAULT_POLICIES
 
 
-def _ask(address: str) -> Policies:
+def _query_policies(address: str) -> Policies:
     try:
         host, port = parse_address(address)
     except ValueError:
         fault = FieldError("command line", "--at", address, "an address as IPv4:port")
         raise SettingsError("command line has faults", [fault]) from None
-    connection = HTTPConnection(host, port, timeout=_ANSWER_LIMIT_S)
+    connection = HTTPConnection(host, port, timeout=_HTTP_TIMEOUT_S)
     try:
         connection.request("GET", "/dump")
-        told = json.loads(connection.getresponse().read()).get("policies")
+        policies_data = json.loads(connection.getresponse().read()).get("policies")
     except (OSError, HTTPException, ValueError) as error:
-        raise UnavailableError(f"{address} gives no state: {error}") from None
+        raise UnavailableError(
+            f"{address} returned no readable state: {error}"
+        ) from None
     finally:
         connection.close()
-    if told is None:
-        raise UnavailableError(f"{address} tells no policies")
-    return parse_policies(address, json.dumps(told))
+    if policies_data is None:
+        raise UnavailableError(f"{address} returned no policies")
+    return parse_policies(address, json.dumps(policies_data))
 
 
 def describe_policies(policies: Policies) -> list[PolicyRow]:
-    """List policies for an operator.
+    """Return the policies as rows for an operator.
 
     Parameters
     ----------
     policies : Policies
-        What to list.
+        Policies to list.
 
     Returns
     -------
     list of PolicyRow
-        In the order of the settings reference.
+        Rows in the order of the settings reference.
     """
     return [
-        PolicyRow(one.name, getattr(policies, one.name), _state(policies, one.name))
-        for one in policy_fields()
+        PolicyRow(
+            field.name, getattr(policies, field.name), _state(policies, field.name)
+        )
+        for field in policy_fields()
     ]
 
 
@@ -99,7 +103,9 @@
     default = getattr(DEFAULT_POLICIES, name)
     if value == default:
         return "default"
-    off = next(one.metadata["off"] for one in policy_fields() if one.name == name)
-    if value == off:
+    off_value = next(
+        field.metadata["off"] for field in policy_fields() if field.name == name
+    )
+    if value == off_value:
         return f"off; default {default!r}"
     return f"default {default!r}"
--- a/src/agatethread/cli/_results.py
+++ b/src/agatethread/cli/_results.py
@@ -1,4 +1,4 @@
-"""How an operators' command tells its result."""
+"""Exit codes of the operators' commands, and the printing of results."""
 
 import argparse
 import json
@@ -7,15 +7,15 @@
 
 
 def print_result(options: argparse.Namespace, data: dict, text: str) -> None:
-    """Print a result as JSON if that was asked for, else as text.
+    """Print a result as JSON if ``--json`` is set, else as text.
 
     Parameters
     ----------
     options : argparse.Namespace
         The command line.
     data : dict
-        Ready for JSON.
+        Result as JSON data.
     text : str
-        The same for people.
+        Result as text.
     """
     print(json.dumps(data, indent=2) if options.json else text)
--- a/src/agatethread/cli/_story.py
+++ b/src/agatethread/cli/_story.py
@@ -1,7 +1,7 @@
-"""Joins the log lines of several processes into what happened to one flow.
+"""Explains from the logs of several processes what happened to a flow, run or version.
 
-Lines are ordered by each process's steady clock, so that a stepped time of day changes
-nothing. Only what the logs hold is said; where they hold nothing, that is said.
+Lines are ordered by each process's monotonic clock, so that steps of the time of day do
+not change their order.
 """
 
 import json
@@ -13,16 +13,17 @@
 
 from agatethread.observability import Event
 
-#: Lines of a flow's run count from so long before the flow's first line: a backend
-#: server reports each second or so, so its last words are in here.
-_BEFORE_S = 5.0
-#: ... and until so long after its last line: a silent one is noticed by then.
-_AFTER_S = 10.0
-#: An opening that was refused sooner had not waited in line.
-_AT_ONCE_S = 0.05
-#: Difference from the process's other lines beyond which its time of day was stepped.
-_STEP_S = 0.5
-#: Events that tell that a run did not answer, or ended.
+#: Lines of a flow's run are included from this time before the flow's first line.
+#: Covers several report intervals of a backend server, about a second each.
+_CONTEXT_BEFORE_S = 5.0
+#: ... and up to this time after its last line. Covers the detection of a silent run.
+_CONTEXT_AFTER_S = 10.0
+#: An opening that was refused sooner than this had not been queued.
+_MIN_QUEUED_S = 0.05
+#: A line whose time of day differs more than this from the process's other lines was
+#: written after a clock step.
+_MIN_CLOCK_STEP_S = 0.5
+#: Events that show that a run did not answer, or ended.
 _RUN_FAILURES = (
     Event.BACKEND_AVOIDED,
     Event.RUN_SILENT,
@@ -33,20 +34,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One line of one process.
+    """One log line of a process.
 
     Attributes
     ----------
     time_s : float
-        Time of day in seconds, by the process's steady clock.
+        Time of day in seconds, corrected by the process's monotonic clock.
     step_s : float
-        How far the line's own time was off.
+        Clock step that was subtracted from the line's own time.
     instance : str
-        Who wrote it.
+        Name of the instance that wrote the line.
     event : str
-        Its `message`.
+        The `message` field.
     fields : dict
-        All of it.
+        All fields of the line.
     """
 
     time_s: float
@@ -56,22 +57,22 @@
     fields: dict[str, Any] = field(repr=False)
 
     def names_run(self, run: str) -> bool:
-        """Tell whether the line is about a run of a backend server."""
+        """Return whether the line names a run of a backend server."""
         return run in (self.fields.get("run"), self.fields.get("holder"))
 
 
 @dataclass(frozen=True, slots=True)
 class Logs:
-    """What could be read.
+    """Log lines of several processes.
 
     Attributes
     ----------
     lines : list of LogLine
-        In order of time.
+        Lines in order of time.
     unreadable_count : int
-        Lines that are no JSON object of ours.
+        Number of lines that are not JSON objects in the log format.
     left_out_count : int
-        Lines that processes left out, by their own count.
+        Number of lines that the processes report as left out.
     """
 
     lines: list[LogLine]
@@ -80,17 +81,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
-    """What the logs say of one flow, run or version.
+class Explanation:
+    """The log lines of one flow, run or version, and the cause of its outcome.
 
     Attributes
     ----------
     lines : list of LogLine
-        What belongs to it, in order of time.
+        Relevant lines in order of time.
     deciding : LogLine or None
-        The line that decided its outcome.
+        The line that shows the cause.
     cause : str
-        The outcome and its cause in a sentence.
+        The outcome and its cause as one sentence.
     """
 
     lines: list[LogLine]
@@ -98,21 +99,18 @@
     cause: str
 
 
-# -- reading ----------------------------------------------------------------------
-
-
 def read_logs(texts: Iterable[Iterable[str]]) -> Logs:
-    """Read logs, one for each process or several in one.
+    """Read the logs of one or more processes.
 
     Parameters
     ----------
     texts : iterable of iterable of str
-        Lines; what stands before the JSON object of a line is passed over.
+        Lines of each log; text before the JSON object of a line is ignored.
 
     Returns
     -------
     Logs
-        All lines in order of time.
+        The lines of all logs in order of time.
     """
     by_instance: dict[str, list[dict[str, Any]]] = {}
     unreadable = left_out = 0
@@ -126,8 +124,8 @@
             by_instance.setdefault(fields["instance"], []).append(fields)
     lines = [
         line
-        for written in by_instance.values()
-        for process in _split_processes(written)
+        for instance_lines in by_instance.values()
+        for process in _split_processes(instance_lines)
         for line in _correct_times(process)
     ]
     lines.sort(key=lambda line: line.time_s)
@@ -152,11 +150,13 @@
     return fields
 
 
-def _split_processes(written: list[dict[str, Any]]) -> Iterator[list[dict[str, Any]]]:
-    # A steady clock that goes back is that of the next process.
+def _split_processes(
+    instance_lines: list[dict[str, Any]],
+) -> Iterator[list[dict[str, Any]]]:
+    # The monotonic clock goes back when a new process starts.
     process: list[dict[str, Any]] = []
-    for fields in written:
-        if process and _steady_s(fields) < _steady_s(process[-1]):
+    for fields in instance_lines:
+        if process and _monotonic_s(fields) < _monotonic_s(process[-1]):
             yield process
             process = []
         process.append(fields)
@@ -164,21 +164,21 @@
         yield process
 
 
-def _steady_s(fields: dict[str, Any]) -> float:
+def _monotonic_s(fields: dict[str, Any]) -> float:
     return float(fields.get("steady_s", 0.0))
 
 
 def _correct_times(process: list[dict[str, Any]]) -> Iterator[LogLine]:
     times_s = [_day_time_s(fields) for fields in process]
     starts_s = [
-        time_s - _steady_s(fields)
+        time_s - _monotonic_s(fields)
         for time_s, fields in zip(times_s, process, strict=True)
     ]
     start_s = median(starts_s)
-    for time_s, its_start_s, fields in zip(times_s, starts_s, process, strict=True):
-        has_steady = "steady_s" in fields
-        off_s = its_start_s - start_s if has_steady else 0.0
-        step_s = off_s if abs(off_s) > _STEP_S else 0.0
+    for time_s, line_start_s, fields in zip(times_s, starts_s, process, strict=True):
+        has_monotonic = "steady_s" in fields
+        offset_s = line_start_s - start_s if has_monotonic else 0.0
+        step_s = offset_s if abs(offset_s) > _MIN_CLOCK_STEP_S else 0.0
         yield LogLine(
             time_s - step_s, step_s, fields["instance"], fields["message"], fields
         )
@@ -188,23 +188,20 @@
     return datetime.fromisoformat(fields["time"]).timestamp()
 
 
-# -- telling ----------------------------------------------------------------------
-
-
-def explain(logs: Logs, name: str) -> Story:
-    """Tell what became of a flow, a run or a version of the routing table.
+def explain(logs: Logs, name: str) -> Explanation:
+    """Explain what happened to a flow, a run or a version of the routing table.
 
     Parameters
     ----------
     logs : Logs
-        What the processes wrote.
+        The logs to search.
     name : str
         ``CALLER:PORT``, with or without ``>HOST:PORT``; a run's id; or ``version:N``.
 
     Returns
     -------
-    Story
-        With every line that belongs to it.
+    Explanation
+        The relevant lines and the cause.
     """
     if name.startswith("version:"):
         return _explain_version(logs, name.removeprefix("version:"))
@@ -214,7 +211,7 @@
     run_lines = [line for line in logs.lines if line.names_run(name)]
     if run_lines:
         return _explain_run(run_lines, name)
-    return Story([], None, _nothing_known(logs, name))
+    return Explanation([], None, _no_match_cause(logs, name))
 
 
 def _names_flow(line: LogLine, name: str) -> bool:
@@ -222,7 +219,7 @@
     return flow == name or flow.startswith(f"{name}>")
 
 
-def _nothing_known(logs: Logs, name: str) -> str:
+def _no_match_cause(logs: Logs, name: str) -> str:
     cause = (
         f"no line names {name}: its packets reached no instance whose logs are here, "
         "or were of a flow that another instance had placed"
@@ -232,9 +229,9 @@
     return cause
 
 
-def _explain_flow(logs: Logs, flow_lines: list[LogLine]) -> Story:
-    first_s = flow_lines[0].time_s - _BEFORE_S
-    last_s = flow_lines[-1].time_s + _AFTER_S
+def _explain_flow(logs: Logs, flow_lines: list[LogLine]) -> Explanation:
+    first_s = flow_lines[0].time_s - _CONTEXT_BEFORE_S
+    last_s = flow_lines[-1].time_s + _CONTEXT_AFTER_S
     around = [line for line in logs.lines if first_s <= line.time_s <= last_s]
     runs = _runs_of(logs, flow_lines)
     run_lines = [
@@ -242,16 +239,23 @@
         for line in around
         if line.event in _RUN_FAILURES and any(line.names_run(run) for run in runs)
     ]
-    touched = {line.instance for line in flow_lines}
-    own = {Event.TABLE_IN_FORCE, Event.STARTED, Event.READY, Event.NOT_READY}
+    instances = {line.instance for line in flow_lines}
+    instance_events = {
+        Event.TABLE_IN_FORCE,
+        Event.STARTED,
+        Event.READY,
+        Event.NOT_READY,
+    }
     instance_lines = [
-        line for line in around if line.event in own and line.instance in touched
+        line
+        for line in around
+        if line.event in instance_events and line.instance in instances
     ]
     lines = sorted(
         [*flow_lines, *run_lines, *instance_lines], key=lambda line: line.time_s
     )
-    deciding, cause = _find_cause(flow_lines, run_lines, logs.lines)
-    return Story(lines, deciding, cause)
+    deciding, cause = _cause_of_outcome(flow_lines, run_lines, logs.lines)
+    return Explanation(lines, deciding, cause)
 
 
 def _runs_of(logs: Logs, flow_lines: Sequence[LogLine]) -> set[str]:
@@ -263,7 +267,7 @@
     return runs
 
 
-def _find_cause(
+def _cause_of_outcome(
     flow_lines: Sequence[LogLine],
     run_lines: Sequence[LogLine],
     all_lines: Sequence[LogLine],
@@ -273,7 +277,7 @@
         return _cause_of_reset(last, run_lines, all_lines)
     if last.event == Event.PACKET_DROPPED:
         return _cause_of_drop(last, all_lines)
-    return _cause_of_silence(last, run_lines)
+    return _cause_after_placement(last, run_lines)
 
 
 def _cause_of_reset(
@@ -286,7 +290,7 @@
         return table or reset, f"reset: version {version} has no route to its address"
     if why == "backend_ended":
         ends = [line for line in run_lines if line.event == Event.BACKEND_ENDED]
-        # A control instance's line says why; an entry instance's repeats it.
+        # Prefers the lines of control instances, which have the reason.
         ends.sort(key=lambda line: "why" not in line.fields)
         if ends:
             reason = ends[0].fields.get("why", "a control instance said so")
@@ -294,11 +298,11 @@
             return ends[0], f"reset: its run {run} had ended ({reason})"
     if why == "no_backend":
         cause = "reset: no backend server of its service could take a new flow"
-        order = _last_before(all_lines, reset, Event.EVACUATIONS_IN_FORCE)
-        domains = order.fields.get("domains") if order else []
+        evacuations = _last_before(all_lines, reset, Event.EVACUATIONS_IN_FORCE)
+        domains = evacuations.fields.get("domains") if evacuations else []
         if not domains:
             return reset, cause
-        return order, f"{cause}; evacuated: {', '.join(domains)}"
+        return evacuations, f"{cause}; evacuated: {', '.join(domains)}"
     refusals = [line for line in all_lines if _refuses(line, reset)]
     if why == "no_room" and refusals:
         return refusals[-1], _cause_of_refusal(refusals[-1])
@@ -314,7 +318,9 @@
     fields = refusal.fields
     waited_s = fields.get("waited_s", 0.0)
     kind = (
-        "refused at once" if waited_s < _AT_ONCE_S else f"waited {waited_s} s in vain"
+        "refused at once"
+        if waited_s < _MIN_QUEUED_S
+        else f"waited {waited_s} s in vain"
     )
     return (
         f"{kind}: {fields.get('waiting')} openings wait for {fields.get('places')} "
@@ -336,14 +342,14 @@
     return drop, f"dropped: {why}"
 
 
-def _cause_of_silence(
+def _cause_after_placement(
     placed: LogLine, run_lines: Sequence[LogLine]
 ) -> tuple[LogLine, str]:
     run = placed.fields.get("run")
     failures = [
         line
         for line in run_lines
-        if line.names_run(run) and line.time_s >= placed.time_s - _BEFORE_S
+        if line.names_run(run) and line.time_s >= placed.time_s - _CONTEXT_BEFORE_S
     ]
     if failures:
         first = failures[0]
@@ -353,37 +359,41 @@
 
 
 def _last_before(
-    lines: Sequence[LogLine], moment: LogLine, event: Event
+    lines: Sequence[LogLine], reference: LogLine, event: Event
 ) -> LogLine | None:
-    found = None
+    last = None
     for line in lines:
-        if line.time_s > moment.time_s:
+        if line.time_s > reference.time_s:
             break
-        if line.event == event and line.instance == moment.instance:
-            found = line
-    return found
+        if line.event == event and line.instance == reference.instance:
+            last = line
+    return last
 
 
-def _explain_run(lines: list[LogLine], run: str) -> Story:
-    own = [line for line in lines if line.event != Event.FLOW_PLACED]
-    failures = [line for line in own if line.event in _RUN_FAILURES]
+def _explain_run(lines: list[LogLine], run: str) -> Explanation:
+    run_lines = [line for line in lines if line.event != Event.FLOW_PLACED]
+    failures = [line for line in run_lines if line.event in _RUN_FAILURES]
     if not failures:
-        return Story(own, None, f"nothing in these logs says that {run} failed")
+        return Explanation(
+            run_lines, None, f"nothing in these logs says that {run} failed"
+        )
     first = failures[0]
-    return Story(own, first, f"first sign: {first.event}, seen by {first.instance}")
+    return Explanation(
+        run_lines, first, f"first sign: {first.event}, seen by {first.instance}"
+    )
 
 
-def _explain_version(logs: Logs, number: str) -> Story:
+def _explain_version(logs: Logs, number: str) -> Explanation:
     lines = [line for line in logs.lines if str(line.fields.get("version")) == number]
     agreed = [line for line in lines if line.event == Event.CHANGE_AGREED]
     in_force = [line for line in lines if line.event == Event.TABLE_IN_FORCE]
     if not lines:
-        return Story([], None, f"no line names version {number}")
+        return Explanation([], None, f"no line names version {number}")
     if not agreed:
-        return Story(lines, lines[0], "not known to have been agreed")
+        return Explanation(lines, lines[0], "not known to have been agreed")
     if not in_force:
-        return Story(lines, agreed[0], "agreed, and in force at none of these")
+        return Explanation(lines, agreed[0], "agreed, and in force at none of these")
     last_s = in_force[-1].time_s - agreed[0].time_s
     count = len({line.instance for line in in_force})
     cause = f"agreed, and in force at {count} instances after {last_s:.3f} s"
-    return Story(lines, agreed[0], cause)
+    return Explanation(lines, agreed[0], cause)
--- a/src/agatethread/cli/_story_text.py
+++ b/src/agatethread/cli/_story_text.py
@@ -1,7 +1,6 @@
-"""The lines of a story as text, equal ones of many instances as one.
+"""Formats an explanation as text, with equal lines of several instances grouped.
 
-The load that this answers: a hundred instances that each log one decision. The one line
-that differs is to be seen among them.
+Handles a hundred instances that each log the same event, and shows a line that differs.
 """
 
 from collections.abc import Iterable
@@ -9,18 +8,18 @@
 from datetime import datetime
 from typing import Any
 
-from agatethread.cli._story import LogLine, Story
-
-#: Longest pause between two lines of one event at several instances. News reaches all
-#: of them sooner; what comes later is another occasion.
-_LONGEST_PAUSE_S = 1.0
-#: Difference of a duration that tells nothing: instances look at their clocks at
-#: moments of their own.
-_SAME_DURATION_S = 0.1
-#: Ends of the names of durations, with what makes seconds of them.
-_DURATIONS = {"_ms": 0.001, "_s": 1.0}
-#: Fields of every line, and those that a line of text shows by itself.
-_SHOWN_FIELDS = {
+from agatethread.cli._story import Explanation, LogLine
+
+#: Longest pause between lines of a group. Longer than updates take to reach all
+#: instances; later lines are due to another event.
+_MAX_PAUSE_S = 1.0
+#: Durations that differ less than this count as equal, because instances read their
+#: clocks at different times.
+_DURATION_TOLERANCE_S = 0.1
+#: Name suffixes of durations, with their factors to seconds.
+_DURATION_SUFFIXES = {"_ms": 0.001, "_s": 1.0}
+#: Common fields, which are shown apart or not at all.
+_COMMON_FIELDS = {
     "time",
     "steady_s",
     "level",
@@ -29,44 +28,44 @@
     "part",
     "message",
 }
-#: Fields that tell of the log, not of the event.
+#: Fields that describe the log rather than the event.
 _LOG_FIELDS = {"left_out_before"}
 
 
 @dataclass(slots=True)
 class LineGroup:
-    """Lines that differ by instance, and a little in time.
+    """Equal lines of different instances, close in time.
 
     Attributes
     ----------
     lines : list of LogLine
-        In order of time, each of another instance.
+        Lines in order of time, one for each instance.
     is_deciding : bool
-        Whether it is the line that decided; that one stands alone.
+        Whether this is the deciding line, which forms a group alone.
     """
 
     lines: list[LogLine]
     is_deciding: bool = False
 
 
-def group_lines(story: Story) -> list[LineGroup]:
-    """Put equal lines of several instances together.
+def group_lines(explanation: Explanation) -> list[LineGroup]:
+    """Group equal lines of different instances.
 
     Parameters
     ----------
-    story : Story
-        Its lines are in order of time.
+    explanation : Explanation
+        Explanation with its lines in order of time.
 
     Returns
     -------
     list of LineGroup
-        In the order of their first lines; every line is in one.
+        Groups in the order of their first lines; each line is in one group.
     """
     groups: list[LineGroup] = []
     open_groups: dict[tuple, LineGroup] = {}
-    for line in story.lines:
-        is_deciding = line is story.deciding
-        key = _key_of(line)
+    for line in explanation.lines:
+        is_deciding = line is explanation.deciding
+        key = _group_key(line)
         group = open_groups.get(key)
         if group and not is_deciding and _belongs(line, group):
             group.lines.append(line)
@@ -78,80 +77,78 @@
     return groups
 
 
-def _key_of(line: LogLine) -> tuple:
-    told = {
+def _group_key(line: LogLine) -> tuple:
+    values = {
         name: "" if _duration_s(name, value) is not None else repr(value)
-        for name, value in _own_fields(line)
+        for name, value in _event_fields(line)
     }
-    return (line.event, line.step_s, *sorted(told.items()))
+    return (line.event, line.step_s, *sorted(values.items()))
 
 
-def _own_fields(line: LogLine) -> Iterable[tuple[str, Any]]:
+def _event_fields(line: LogLine) -> Iterable[tuple[str, Any]]:
     for name, value in line.fields.items():
-        if name not in _SHOWN_FIELDS and name not in _LOG_FIELDS:
+        if name not in _COMMON_FIELDS and name not in _LOG_FIELDS:
             yield name, value
 
 
 def _duration_s(name: str, value: Any) -> float | None:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return None
-    for end, unit_s in _DURATIONS.items():
-        # Some moments end alike; those of other starts are other events.
-        if name.endswith(end) and not name.endswith("started_ms"):
+    for suffix, unit_s in _DURATION_SUFFIXES.items():
+        # Start times have the same suffix, but are no durations.
+        if name.endswith(suffix) and not name.endswith("started_ms"):
             return value * unit_s
     return None
 
 
 def _belongs(line: LogLine, group: LineGroup) -> bool:
-    if line.time_s - group.lines[-1].time_s > _LONGEST_PAUSE_S:
+    if line.time_s - group.lines[-1].time_s > _MAX_PAUSE_S:
         return False
-    # What an instance says twice has happened twice.
-    if any(line.instance == other.instance for other in group.lines):
+    # A second line of the same instance is a second event.
+    if any(line.instance == member.instance for member in group.lines):
         return False
     first = group.lines[0].fields
     return all(
-        abs(duration_s - _duration_s(name, first[name])) <= _SAME_DURATION_S
-        for name, value in _own_fields(line)
+        abs(duration_s - _duration_s(name, first[name])) <= _DURATION_TOLERANCE_S
+        for name, value in _event_fields(line)
         if (duration_s := _duration_s(name, value)) is not None
     )
 
 
-def describe_story(story: Story) -> str:
-    """Write a story as text.
+def format_explanation(explanation: Explanation) -> str:
+    """Return an explanation as text.
 
     Parameters
     ----------
-    story : Story
-        What was found.
+    explanation : Explanation
+        The explanation to format.
 
     Returns
     -------
     str
-        A line for each group, the deciding one marked, and the cause.
+        One line for each group, with the deciding one marked, and the cause.
     """
-    groups = [_describe(group) for group in group_lines(story)]
-    return "\n".join([*groups, story.cause])
+    groups = [_format_group(group) for group in group_lines(explanation)]
+    return "\n".join([*groups, explanation.cause])
 
 
-def _describe(group: LineGroup) -> str:
+def _format_group(group: LineGroup) -> str:
     line = group.lines[0]
-    moment = datetime.fromtimestamp(line.time_s).time().isoformat("milliseconds")
+    time = datetime.fromtimestamp(line.time_s).time().isoformat("milliseconds")
     fields = " ".join(
         f"{name}={value}"
         for name, value in line.fields.items()
-        if name not in _SHOWN_FIELDS
+        if name not in _COMMON_FIELDS
     )
     mark = ">" if group.is_deciding else " "
     step = f" (its clock was {line.step_s:+.1f} s off)" if line.step_s else ""
-    return (
-        f"{mark} {moment} {line.instance}{_others(group)}: {line.event} {fields}{step}"
-    )
+    return f"{mark} {time} {line.instance}{_extent(group)}: {line.event} {fields}{step}"
 
 
-def _others(group: LineGroup) -> str:
+def _extent(group: LineGroup) -> str:
     count = len(group.lines)
     if count == 1:
         return ""
     last = group.lines[-1]
-    later_s = last.time_s - group.lines[0].time_s
-    return f" to {last.instance} ({count} instances within {later_s:.3f} s)"
+    span_s = last.time_s - group.lines[0].time_s
+    return f" to {last.instance} ({count} instances within {span_s:.3f} s)"
--- a/src/agatethread/observability/__init__.py
+++ b/src/agatethread/observability/__init__.py
@@ -1,4 +1,4 @@
-"""Logs, metrics and dumps."""
+"""Structured logs and metrics of the processes."""
 
 from agatethread.observability._events import EVENT_FIELDS, Event
 from agatethread.observability._exposition import Measures, expose
--- a/src/agatethread/observability/_events.py
+++ b/src/agatethread/observability/_events.py
@@ -1,6 +1,7 @@
-"""Every event that the platform's processes log, and the fields of its line.
+"""The events that the platform's processes log, and the fields of their lines.
 
-docs/OPERATIONS.md explains them; a test keeps code, this list and that page together.
+They are documented in docs/OPERATIONS.md; a test compares the code, this list and that
+page.
 """
 
 from collections.abc import Mapping
@@ -9,7 +10,7 @@
 
 
 class Event(StrEnum):
-    """An event; the value is the `message` of its lines."""
+    """An event; its value is the `message` of its log lines."""
 
     # Packets and flows.
     FLOW_PLACED = "flow placed"
@@ -17,7 +18,7 @@
     PACKET_DROPPED = "packet dropped"
     DATAGRAM_FAILED = "a datagram's handler failed"
 
-    # Openings under pressure.
+    # Openings of flows under pressure.
     PRESSURE_BEGINS = "pressure begins: openings are relayed"
     PRESSURE_ENDS = "pressure ends: openings are placed here"
     OPENING_RELAYED = "opening relayed"
@@ -26,7 +27,7 @@
     OPENING_REFUSED = "opening refused: no room in time"
     DISPATCHER_SILENT = "dispatcher silent: it gets no openings"
 
-    # Backend servers, as an entry instance holds them.
+    # Backend servers, logged by entry instances.
     RUN_KNOWN = "backend server known"
     RUN_REPORTING = "backend server reporting"
     RUN_DRAINING = "backend server draining"
@@ -37,7 +38,7 @@
     BACKEND_WEIGHED = "backend server's share of new work"
     LABEL_SHARED = "two runs share a label"
 
-    # Backend servers, as a control instance hears them.
+    # Backend servers, logged by control instances.
     BACKEND_REPORTS = "backend server reports"
     BACKEND_STOPPED = "backend server stopped reporting"
     BACKEND_ENDED = "backend server ended"
@@ -46,7 +47,7 @@
     BACKEND_JUDGED = "backend server judged by its answers"
     NOT_SPREAD = "not known everywhere in time"
 
-    # What an instance knows and whether it serves.
+    # State, readiness and control connections of an entry instance.
     TABLE_IN_FORCE = "routing table in force"
     EVACUATIONS_IN_FORCE = "evacuations in force"
     EVACUATION_EXEMPT = "cut off: evacuated backend servers get work"
@@ -57,14 +58,14 @@
     HOME_NOT_ENOUGH = "control followed elsewhere too"
     CONTROL_OUT_OF_SIGHT = "control instance out of sight"
 
-    # Configurations.
+    # Configuration changes.
     CHANGE_AGREED = "change agreed"
     CHANGE_OVERTAKEN = "change overtaken"
     EVACUATION_AGREED = "evacuation agreed"
     CALL_REFUSED = "call refused"
     CALL_NOT_ANSWERED = "call not answered"
 
-    # The log and its members.
+    # The replicated log and its members.
     LEADER = "leader"
     LEADER_NO_MORE = "no longer leader"
     QUORUM_LOST = "leader lost its quorum"
@@ -78,7 +79,7 @@
     EMPTY_DISK = "empty disk: joining as a new member"
     LOG_OPENED = "log opened"
 
-    # Disks.
+    # Disk failures.
     LOG_NOT_OPENED = "log not opened: disk"
     LOG_SET_ASIDE = "log set aside: damaged"
     LOG_NOT_SET_ASIDE = "log not set aside: disk"
@@ -107,8 +108,8 @@
     CONNECTION_CLOSED = "connection closed by the stop"
 
 
-#: Fields beside those of every line (time, level, instance, failure domain, part). A
-#: line has some or all of them.
+#: Fields of each event besides the common ones (time, level, instance, failure domain,
+#: part). A line may lack some of them.
 EVENT_FIELDS: Mapping[Event, frozenset[str]] = MappingProxyType(
     {
         Event.FLOW_PLACED: frozenset(
--- a/src/agatethread/observability/_exposition.py
+++ b/src/agatethread/observability/_exposition.py
@@ -1,7 +1,6 @@
-"""Counters, gauges and latencies as Prometheus text, made when it is asked for.
+"""Formats counters, gauges and histograms as Prometheus text on request.
 
-Without OpenTelemetry, which the other roles use: its interface has no histogram that is
-read when collected, and loading it would add 0.1 s to each start.
+Does not use OpenTelemetry, which has no observable histogram and is slow to import.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -13,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Measures:
-    """What a process measures of itself."""
+    """The metrics of a process."""
 
     counters: Counters
     gauges: Mapping[str, Callable[[], float]] = field(default_factory=dict)
@@ -21,19 +20,19 @@
 
 
 def expose(measures: Measures) -> bytes:
-    """Write measures as Prometheus text.
+    """Return metrics as Prometheus text.
 
     Parameters
     ----------
     measures : Measures
-        What to write.
+        The metrics to format.
 
     Returns
     -------
     bytes
-        The text.
+        The text, in UTF-8.
     """
-    # Loaded only here, when somebody asks: most processes are never asked.
+    # Imported on first use, to keep the start of the process short.
     from prometheus_client import CollectorRegistry, generate_latest
 
     registry = CollectorRegistry()
@@ -61,19 +60,21 @@
         state = GaugeMetricFamily(
             "agatethread_state", "Present state by name.", labels=["gauge"]
         )
-        for name, read in self._measures.gauges.items():
-            state.add_metric([name], read())
+        for name, read_value in self._measures.gauges.items():
+            state.add_metric([name], read_value())
         yield state
         for name, histogram in self._measures.histograms.items():
             family = HistogramMetricFamily(f"agatethread_{name}", "Seconds.")
-            family.add_metric([], _buckets(histogram), sum_value=histogram.total)
+            family.add_metric(
+                [], _cumulative_buckets(histogram), sum_value=histogram.total
+            )
             yield family
 
 
-def _buckets(histogram: Histogram) -> list[tuple[str, float]]:
-    found, below = [], 0
+def _cumulative_buckets(histogram: Histogram) -> list[tuple[str, float]]:
+    buckets, cumulative_count = [], 0
     bounds = [str(bound) for bound in histogram.bounds] + ["+Inf"]
     for bound, count in zip(bounds, histogram.counts, strict=True):
-        below += count
-        found.append((bound, below))
-    return found
+        cumulative_count += count
+        buckets.append((bound, cumulative_count))
+    return buckets
--- a/src/agatethread/observability/_histogram.py
+++ b/src/agatethread/observability/_histogram.py
@@ -1,19 +1,18 @@
-"""Latencies counted in buckets with plain integers."""
+"""Histogram of latencies with fixed buckets, kept as plain integers."""
 
 from bisect import bisect_left
 
-#: Bounds in seconds, around the targets of 0.1 to 5 s and the first retransmission
-#: after 0.2 s.
+#: Fine around the latency targets of 0.1 to 5 s and the first retransmission at 0.2 s.
 LATENCY_BOUNDS_S = (0.01, 0.02, 0.05, 0.1, 0.15, 0.2, 0.25, 0.5, 1.0, 1.5, 2.5, 5.0)
 
 
 class Histogram:
-    """Counts of values by bucket.
+    """Counts values by bucket and sums them.
 
     Parameters
     ----------
     bounds : tuple of float, optional
-        Upper bounds, ascending; values above the last have a bucket of their own.
+        Upper bounds, ascending; larger values go into an overflow bucket.
     """
 
     def __init__(self, bounds: tuple[float, ...] = LATENCY_BOUNDS_S):
--- a/src/agatethread/observability/_logging.py
+++ b/src/agatethread/observability/_logging.py
@@ -1,4 +1,4 @@
-"""Structured logs through logbook."""
+"""Set up structured logging with logbook, as JSON lines or as text."""
 
 import sys
 import time
@@ -17,10 +17,10 @@
 )
 
 
-#: Lines wait for each other up to so many bytes, so that one system call takes them.
+#: Lines are buffered up to this size and written by one system call.
 _BATCH_BYTES = 4_096
-#: What `steady_s` counts from: nearly the start of the process.
-_LOADED_S = time.monotonic()
+#: Origin of `steady_s`: the import of this module, close to the start of the process.
+_IMPORTED_S = time.monotonic()
 
 
 def _fields(record: logbook.LogRecord) -> dict[str, Any]:
@@ -32,8 +32,8 @@
 def _format_json(record: logbook.LogRecord, _: Any) -> str:
     line = _fields(record)
     line["time"] = record.time
-    # The time of day may be stepped; this orders a process's lines for certain.
-    line["steady_s"] = round(time.monotonic() - _LOADED_S, 4)
+    # Monotonic: keeps the order of a process's lines when the time of day is stepped.
+    line["steady_s"] = round(time.monotonic() - _IMPORTED_S, 4)
     line["level"] = record.level_name.lower()
     line["instance"] = record.extra["instance"]
     line["failure_domain"] = record.extra["failure_domain"]
@@ -53,16 +53,16 @@
 
 
 class BoundedHandler(logbook.Handler):
-    """Writes records as JSON lines, bounded by kind and never waiting.
+    """Writes records as JSON lines, rate-limited by kind, without blocking.
 
     Parameters
     ----------
     writer : LineWriter
-        Takes the lines.
+        Writes the lines.
     budget : LineBudget
-        Bounds them.
+        Limits their rate.
     level : int
-        Least level that is written.
+        Lowest level that is written.
     """
 
     def __init__(self, writer: LineWriter, budget: LineBudget, level: int):
@@ -71,17 +71,17 @@
         self._budget = budget
 
     def emit(self, record: logbook.LogRecord) -> None:
-        """Write a record, or count it as left out.
+        """Write a record, or count it as left out if its kind exceeds the rate.
 
         Parameters
         ----------
         record : logbook.LogRecord
             The record.
         """
-        # `record.message` would be formatted with all fields, for nothing: no event has
-        # places for them.
+        # Uses `msg`: `message` would be formatted with the fields, but event texts have
+        # no placeholders.
         kind = (record.channel, record.msg, record.kwargs.get("why"))
-        left_out = self._budget.take(kind)
+        left_out = self._budget.admit(kind)
         if left_out is None:
             return
         if left_out:
@@ -90,7 +90,7 @@
             record.kwargs["lines_lost"] = self._writer.lost_count
         self._writer.write(_format_json(record, None))
         if record.level >= logbook.WARNING:
-            # These may be the last words of a process.
+            # The process may end before the next flush.
             self._writer.flush()
 
 
@@ -102,14 +102,14 @@
     Parameters
     ----------
     instance, failure_domain : str
-        Put on every line.
+        Fields of every line.
     level : str, optional
-        Least level that is written.
+        Lowest level that is written.
 
     Returns
     -------
     LineWriter
-        To be flushed now and then.
+        The writer of the lines; the caller flushes it periodically.
     """
     writer = LineWriter(sys.stdout.fileno(), batch_bytes=_BATCH_BYTES)
     handler = BoundedHandler(writer, LineBudget(), logbook.lookup_level(level.upper()))
@@ -136,7 +136,7 @@
     settings : LoggingSettings
         Format and level.
     instance, failure_domain : str
-        Put on every record.
+        Fields of every record.
     """
     handler = logbook.StreamHandler(
         sys.stderr, level=logbook.lookup_level(settings.level.upper())
@@ -148,16 +148,16 @@
 
 
 def make_logger(part: str) -> logbook.Logger:
-    """Make the logger of one part.
+    """Return a logger for one part of the program.
 
     Parameters
     ----------
     part : str
-        Name of the part.
+        Name of the part, logged as a field.
 
     Returns
     -------
     logbook.Logger
-        Keyword arguments of its calls become fields of the record.
+        Logger whose keyword arguments become fields of the record.
     """
     return logbook.Logger(part)
--- a/src/agatethread/observability/_metrics.py
+++ b/src/agatethread/observability/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters kept as plain integers and read by OpenTelemetry when collected."""
+"""Event counters as plain integers, and their export through OpenTelemetry."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable
@@ -9,20 +9,20 @@
 class Counters(Counter):
     """Event counts by name; a missing name counts zero.
 
-    A plain integer is counted on the data path, where an instrument's lock and
-    attribute handling would cost more than the forwarding itself.
+    Plain integers, because the locks and attribute handling of an OpenTelemetry
+    instrument are too slow for the data path.
     """
 
 
 def start_metrics(
     settings: Settings, counters: Counters, gauges: dict[str, Callable[[], float]]
 ) -> None:
-    """Serve the process's metrics as Prometheus text, if the settings say so.
+    """Serve the process's metrics as Prometheus text, if an endpoint is configured.
 
     Parameters
     ----------
     settings : Settings
-        Names the endpoint; an empty one serves nothing.
+        Holds the endpoint's address; if it is empty, nothing is served.
     counters : Counters
         Exported as ``agatethread_events`` with the event's name as a label.
     gauges : dict of str to callable
@@ -31,7 +31,7 @@
     if not settings.metrics:
         return
 
-    # Loaded only here: a process that serves no metrics starts 0.1 s earlier.
+    # Imported only here, because the import is slow.
     from opentelemetry.exporter.prometheus import PrometheusMetricReader
     from opentelemetry.metrics import CallbackOptions, Observation
     from opentelemetry.sdk.metrics import MeterProvider
@@ -43,8 +43,8 @@
             yield Observation(value, {"event": name})
 
     def observe_gauges(_: CallbackOptions) -> Iterable[Observation]:
-        for name, read in gauges.items():
-            yield Observation(read(), {"gauge": name})
+        for name, read_value in gauges.items():
+            yield Observation(read_value(), {"gauge": name})
 
     attributes = {
         "service.name": "agatethread",
--- a/src/agatethread/observability/_output.py
+++ b/src/agatethread/observability/_output.py
@@ -1,4 +1,4 @@
-"""Log lines to a descriptor: bounded in number and in memory, and never waited for."""
+"""Write log lines to a file descriptor, with bounds on rate and memory."""
 
 import os
 import stat
@@ -6,27 +6,26 @@
 from collections import deque
 from collections.abc import Callable, Hashable
 
-#: Lines of one kind written in a second. A busy entry instance places some tens of
-#: flows a second. A line takes 13 us of processor time (benchmarks.log_cost), so this
-#: rate costs 0.13 % of a core a kind.
+#: Rate limit for lines of one kind. Handles a busy entry instance, which places some
+#: tens of flows a second, and bounds the processor time spent on logging.
 LINES_PER_S = 100
-#: Lines that may come at once before the rate holds.
+#: Lines of one kind that may exceed the rate in a burst.
 BURST_LINES = 200
-#: Memory for lines that the reader has not taken yet.
+#: Memory for lines that the reader has not read yet.
 BUFFER_BYTES = 256 << 10
-#: Most that one system call writes: what a pipe holds.
-_WRITE_BYTES = 64 << 10
+#: Limit of one write call; the default capacity of a pipe.
+_MAX_WRITE_BYTES = 64 << 10
 
 
 class LineBudget:
-    """Counts lines by kind; beyond a rate they are left out and counted.
+    """Token bucket for each kind of line; counts the lines that exceed the rate.
 
     Parameters
     ----------
     now_s : callable
         Monotonic clock.
     rate_per_s, burst : float
-        Lines a second, and at once.
+        Lines per second, and size of the bucket.
     """
 
     def __init__(
@@ -38,11 +37,11 @@
         self._now_s = now_s
         self._rate_per_s = rate_per_s
         self._burst = burst
-        self._left: dict[Hashable, tuple[float, float]] = {}
+        self._tokens: dict[Hashable, tuple[float, float]] = {}
         self._left_out: dict[Hashable, int] = {}
 
-    def take(self, kind: Hashable) -> int | None:
-        """Ask whether a line may be written.
+    def admit(self, kind: Hashable) -> int | None:
+        """Check whether a line may be written.
 
         Parameters
         ----------
@@ -52,32 +51,32 @@
         Returns
         -------
         int or None
-            How many lines of the kind were left out before it; None if this one must
-            be left out, too.
+            Number of lines of the kind that were left out since the last one written;
+            None if this line must be left out, too.
         """
         now_s = self._now_s()
-        left, then_s = self._left.get(kind, (self._burst, now_s))
-        left = min(self._burst, left + (now_s - then_s) * self._rate_per_s)
-        if left < 1:
-            self._left[kind] = (left, now_s)
+        tokens, updated_s = self._tokens.get(kind, (self._burst, now_s))
+        tokens = min(self._burst, tokens + (now_s - updated_s) * self._rate_per_s)
+        if tokens < 1:
+            self._tokens[kind] = (tokens, now_s)
             self._left_out[kind] = self._left_out.get(kind, 0) + 1
             return None
-        self._left[kind] = (left - 1, now_s)
+        self._tokens[kind] = (tokens - 1, now_s)
         return self._left_out.pop(kind, 0)
 
 
 class LineWriter:
-    """Writes lines without waiting for whoever reads them.
+    """Writes lines to a file descriptor without blocking on its reader.
 
     Parameters
     ----------
     descriptor : int
-        Where to write.
+        File descriptor to write to.
     limit_bytes : int, optional
-        Memory for lines that could not be written yet; beyond it lines are lost.
+        Memory for lines that are not written yet; beyond it, lines are lost.
     batch_bytes : int, optional
-        Lines wait for `flush`, or until there are so many bytes of them; 0 writes each
-        line at once.
+        Lines are buffered until `flush` or until this size; 0 writes each line
+        immediately.
     """
 
     def __init__(
@@ -86,61 +85,61 @@
         self._descriptor = descriptor
         self._limit_bytes = limit_bytes
         self._batch_bytes = batch_bytes
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._buffered: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self.lost_count = 0
         mode = os.fstat(descriptor).st_mode
         if stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode):
-            # A pipe whose reader stalls would otherwise stop this process.
+            # Writing to a full pipe would otherwise block the process.
             os.set_blocking(descriptor, False)
 
     def write(self, line: str) -> None:
-        """Write a line, or keep it for later.
+        """Write or buffer a line; count it as lost if the buffer is full.
 
         Parameters
         ----------
         line : str
-            Without its end.
+            The line, without a line break.
         """
         data = line.encode() + b"\n"
-        if self._waiting_bytes + len(data) > self._limit_bytes:
+        if self._buffered_bytes + len(data) > self._limit_bytes:
             self.lost_count += 1
             self.flush()
             return
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
-        if self._waiting_bytes >= self._batch_bytes:
+        self._buffered.append(data)
+        self._buffered_bytes += len(data)
+        if self._buffered_bytes >= self._batch_bytes:
             self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        while self._waiting:
-            data = self._join_waiting()
+        """Write as many of the buffered lines as the descriptor accepts."""
+        while self._buffered:
+            data = self._join_buffered()
             try:
                 written = os.write(self._descriptor, data)
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; there is nowhere left to say so.
-                self.lost_count += len(self._waiting)
-                self._waiting.clear()
-                self._waiting_bytes = 0
+                # The reader is gone, so the lines can't be delivered.
+                self.lost_count += len(self._buffered)
+                self._buffered.clear()
+                self._buffered_bytes = 0
                 return
-            self._waiting_bytes -= written
-            self._waiting.popleft()
+            self._buffered_bytes -= written
+            self._buffered.popleft()
             if written < len(data):
-                self._waiting.appendleft(data[written:])
+                self._buffered.appendleft(data[written:])
                 return
 
-    def _join_waiting(self) -> bytes:
-        """Make one piece of what waits, as much as one call takes."""
+    def _join_buffered(self) -> bytes:
+        """Join the first buffered lines, up to the size of one write call."""
         size, count = 0, 0
-        for data in self._waiting:
-            if count and size + len(data) > _WRITE_BYTES:
+        for data in self._buffered:
+            if count and size + len(data) > _MAX_WRITE_BYTES:
                 break
             size += len(data)
             count += 1
         if count > 1:
-            joined = b"".join(self._waiting.popleft() for _ in range(count))
-            self._waiting.appendleft(joined)
-        return self._waiting[0]
+            joined = b"".join(self._buffered.popleft() for _ in range(count))
+            self._buffered.appendleft(joined)
+        return self._buffered[0]
--- a/tests/cli/test_calls.py
+++ b/tests/cli/test_calls.py
@@ -10,7 +10,7 @@
 
 
 def status(applied_index):
-    """A control instance that sees one entry instance."""
+    """Return the statuses of a control instance with one connected entry instance."""
     watcher = WatcherStatus(
         instance="entry-1", applied_index=applied_index, connected=True
     )
@@ -18,30 +18,30 @@
 
 
 class TestWaitInForce(unittest.IsolatedAsyncioTestCase):
-    async def wait(self, answers, limit_s=5.0):
-        """Wait for index 3, while control answers as given."""
+    async def wait(self, answers, timeout_s=5.0):
+        """Wait for index 3; control instances give the answers in turn."""
         with mock.patch(
             "agatethread.cli._calls.all_statuses", side_effect=answers
-        ) as asked:
+        ) as query:
             try:
-                return await wait_in_force(None, 3, limit_s)
+                return await wait_in_force(None, 3, timeout_s)
             finally:
-                self.asked_count = asked.call_count
+                self.query_count = query.call_count
 
-    async def test_a_moment_without_an_answer_is_waited_through(self):
-        """The change was accepted, so the wait goes on until its limit."""
+    async def test_retries_while_no_control_instance_answers(self):
+        """The wait goes on through brief outages, since the change was accepted."""
         answers = [UNAVAILABLE, status(2), UNAVAILABLE, status(3)]
         _, laggards = await self.wait(answers)
-        self.assertEqual((laggards, self.asked_count), ([], 4))
+        self.assertEqual((laggards, self.query_count), ([], 4))
 
-    async def test_no_answer_until_the_limit_is_an_error(self):
-        """Nothing is known of the change, so nothing is said of it."""
+    async def test_raises_if_last_query_before_timeout_fails(self):
+        """Without an answer by the timeout, the state of the change is unknown."""
         started_s = time.monotonic()
         with self.assertRaises(UnavailableError):
-            await self.wait([UNAVAILABLE] * 1_000, limit_s=0.3)
+            await self.wait([UNAVAILABLE] * 1_000, timeout_s=0.3)
         self.assertLess(time.monotonic() - started_s, 2.0)
 
-    async def test_laggards_are_named_at_the_limit(self):
-        """Who is behind is told with the reason."""
-        _, laggards = await self.wait([status(2)] * 1_000, limit_s=0.2)
+    async def test_returns_laggards_at_timeout(self):
+        """Instances that are behind are returned with the reason."""
+        _, laggards = await self.wait([status(2)] * 1_000, timeout_s=0.2)
         self.assertEqual([row["why"] for row in laggards], ["behind"])
--- a/tests/cli/test_daemon.py
+++ b/tests/cli/test_daemon.py
@@ -19,7 +19,7 @@
 
 
 class TestOneProcessWithBothRoles(unittest.TestCase):
-    """A daemon that is entry and control, with metrics and logs in JSON."""
+    """Runs a daemon with both roles, metrics and JSON logs."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -88,39 +88,43 @@
             for datagram in datagrams:
                 sender.sendto(datagram, (host, int(port)))
 
-    def test_bad_datagrams_through_its_sockets_change_nothing(self):
-        """Thousands of random and forged datagrams are counted, and it serves on."""
-        chance = random.Random(1)
+    def test_drops_invalid_datagrams_without_changing_state(self):
+        """Random and forged datagrams are dropped, and the daemon keeps running."""
+        generator = random.Random(1)
         kinds = sorted(Kind.values())
         before = self.dump()["entry"]
         for _ in range(50):
-            noise = [chance.randbytes(chance.randrange(2_000)) for _ in range(20)]
+            noise = [generator.randbytes(generator.randrange(2_000)) for _ in range(20)]
             forged = [
                 Envelope(
-                    kind=chance.choice(kinds),
+                    kind=generator.choice(kinds),
                     service="tab",
-                    cookie=chance.randbytes(38),
-                    operation_id=chance.randbytes(60),
-                    return_label=chance.randbytes(chance.choice((38, 70))),
+                    cookie=generator.randbytes(38),
+                    operation_id=generator.randbytes(60),
+                    return_label=generator.randbytes(generator.choice((38, 70))),
                 ).SerializeToString()
                 for _ in range(20)
             ]
-            peers = [b"\xff" + chance.randbytes(60) for _ in range(10)]
+            peers = [b"\xff" + generator.randbytes(60) for _ in range(10)]
             for name in ("listen", "inner"):
                 self.send(name, *noise, *forged, *peers)
             time.sleep(0.01)
         after = self.dump()
         for part in ("members", "endpoints", "documents", "operations_kept"):
             self.assertEqual(after["entry"][part], before[part])
-        dropped = {k: n for k, n in after["counters"].items() if "dropped" in k}
+        dropped = {
+            name: count
+            for name, count in after["counters"].items()
+            if "dropped" in name
+        }
         self.assertGreater(sum(dropped.values()), 1_000)
         self.assertNotIn("dropped_by_fault", dropped)
 
-    def test_metrics_logs_and_graceful_stop(self):
-        """Metrics are served, each log line is JSON, and SIGTERM ends it with 0."""
+    def test_serves_metrics_logs_json_and_stops_on_sigterm(self):
+        """Metrics are served, log lines are JSON, and SIGTERM leads to exit code 0."""
         url = f"http://{self.ports['metrics']}/metrics"
-        with urllib.request.urlopen(url, timeout=5) as answer:
-            text = answer.read().decode()
+        with urllib.request.urlopen(url, timeout=5) as response:
+            text = response.read().decode()
         self.assertIn('event="control_updates"', text)
         self.assertIn('gauge="documents_index"', text)
         self.process.send_signal(signal.SIGTERM)
@@ -129,8 +133,8 @@
         self.assertIn("left", [line["message"] for line in lines])
         self.assertEqual({line["instance"] for line in lines}, {"both"})
 
-    def test_document_survives_a_kill(self):
-        """What was accepted is there after SIGKILL and a restart."""
+    def test_document_survives_sigkill(self):
+        """An accepted document is still stored after SIGKILL and a restart."""
         self.process.kill()
         self.process.wait()
         self.process = self.start("both")
@@ -143,8 +147,8 @@
             json.loads(output)["text"], '{service: "tab", version: 1} // ours'
         )
 
-    def test_address_in_use_ends_with_an_error(self):
-        """A second process on the same addresses says so and ends."""
+    def test_fails_if_address_is_in_use(self):
+        """A second process on the same addresses logs the conflict and exits."""
         second = self.start("second")
         self.assertNotEqual(second.wait(20), 0)
         self.assertIn("in use", self.log.read_text())
--- a/tests/cli/test_policies.py
+++ b/tests/cli/test_policies.py
@@ -9,7 +9,7 @@
 
 
 class Instance(http.server.BaseHTTPRequestHandler):
-    """Answers ``/dump`` as an instance does."""
+    """HTTP handler that answers ``/dump`` as an instance does."""
 
     state = {"policies": asdict(Policies(cold_factor=1.0, turn_wait_s=0.5))}
 
@@ -24,7 +24,7 @@
 
 class TestPolicies(CommandCase):
     def serve(self, state=None):
-        """Run an instance; return its address."""
+        """Start a fake instance and return its address."""
         handler = type("Handler", (Instance,), {"state": state or Instance.state})
         server = http.server.HTTPServer(("127.0.0.1", 0), handler)
         thread = threading.Thread(target=server.serve_forever)
@@ -34,16 +34,16 @@
         self.addCleanup(server.shutdown)
         return f"127.0.0.1:{server.server_port}"
 
-    def test_policies_in_force(self):
-        """An instance's own are shown, each with what it differs from."""
+    def test_prints_policies_of_instance(self):
+        """An instance's policies are printed with the defaults they differ from."""
         code, output, _ = run(run_ctl, "policies", "--at", self.serve())
         self.assertEqual(code, 0)
         self.assertIn("cold_factor = 1.0  (off; default 1.6)", output)
         self.assertIn("turn_wait_s = 0.5  (default 2.0)", output)
         self.assertIn("keeps_hints = True  (default)", output)
 
-    def test_policies_of_a_file(self):
-        """A file is checked, and shown as the instances would take it."""
+    def test_prints_policies_of_file(self):
+        """A file is checked, and its policies are printed with the defaults."""
         path = self.write("{keeps_hints: false}")
         code, output, _ = run(run_ctl, "--json", "policies", "--file", path)
         self.assertEqual((code, json.loads(output)["keeps_hints"]), (0, False))
@@ -52,10 +52,10 @@
         self.assertEqual(code, 2)
         self.assertIn("keeps_hints: got 1, expected true or false", errors)
 
-    def test_instance_that_tells_none(self):
-        """Neither silence nor another state is taken for the defaults."""
-        other = self.serve({"instance": "entry-1"})
-        for address in ("127.0.0.1:1", other, "somewhere"):
+    def test_fails_if_instance_returns_no_policies(self):
+        """Without an answer, or with one that lacks policies, the command fails."""
+        without_policies = self.serve({"instance": "entry-1"})
+        for address in ("127.0.0.1:1", without_policies, "somewhere"):
             code, _, errors = run(run_ctl, "policies", "--at", address)
             with self.subTest(address=address):
                 self.assertNotEqual(code, 0)
--- a/tests/observability/test_events.py
+++ b/tests/observability/test_events.py
@@ -6,7 +6,7 @@
 
 ROOT = Path(__file__).parents[2]
 LEVELS = {"debug", "info", "warning", "error", "exception", "critical"}
-#: What the platform's processes are made of.
+#: Source folders of the platform's processes.
 FOLDERS = (
     "src/agatethread/control",
     "src/agatethread/datapath",
@@ -18,7 +18,7 @@
 
 
 def log_calls():
-    """Every call of a module's logger: place, event expressions, fields."""
+    """Yield the place and the node of each logger call."""
     for folder in FOLDERS:
         for path in sorted((ROOT / folder).glob("*.py")):
             for node in ast.walk(ast.parse(path.read_text())):
@@ -31,7 +31,7 @@
 
 
 def events_of(expression):
-    """The events that an expression may be; empty if it holds none by name."""
+    """Return the events that an expression names."""
     names = [
         node.attr
         for node in ast.walk(expression)
@@ -41,8 +41,8 @@
 
 
 class TestEvents(unittest.TestCase):
-    def test_each_line_has_a_listed_event_with_listed_fields(self):
-        """No log call names its event in free text or adds an unlisted field."""
+    def test_log_calls_use_listed_events_and_fields(self):
+        """No log call has a literal message or a field that is not listed."""
         count = 0
         for place, call in log_calls():
             with self.subTest(place):
@@ -53,8 +53,8 @@
                     self.assertLessEqual(fields, EVENT_FIELDS[event])
         self.assertGreater(count, 40)
 
-    def test_each_event_is_used_and_explained(self):
-        """The list holds nothing that is not logged, and the page explains all."""
+    def test_each_event_is_logged_and_documented(self):
+        """Each event is used in the source, has fields and is in the page."""
         sources = "".join(
             path.read_text()
             for folder in FOLDERS
--- a/tests/observability/test_exposition.py
+++ b/tests/observability/test_exposition.py
@@ -4,8 +4,8 @@
 
 
 class TestExpose(unittest.TestCase):
-    def test_all_kinds_of_measures_are_written(self):
-        """Counters, gauges and latencies are written as Prometheus text."""
+    def test_formats_counters_gauges_and_histograms(self):
+        """Counters, gauges and histograms are formatted as Prometheus text."""
         latency = Histogram((0.1, 1.0))
         for value in (0.05, 0.1, 0.5, 3.0):
             latency.record(value)
--- a/tests/observability/test_output.py
+++ b/tests/observability/test_output.py
@@ -10,22 +10,22 @@
 
 
 class TestLineBudget(unittest.TestCase):
-    def test_rate_holds_for_each_kind(self):
-        """Beyond the rate lines of a kind are left out; other kinds are written."""
+    def test_limits_rate_of_each_kind(self):
+        """Lines of a kind beyond the rate are left out; other kinds are written."""
         clock = Clock()
         budget = LineBudget(clock, rate_per_s=10, burst=5)
-        taken = [budget.take("a") for _ in range(50)]
-        self.assertEqual(taken.count(None), 45)
-        self.assertEqual(budget.take("b"), 0)
+        results = [budget.admit("a") for _ in range(50)]
+        self.assertEqual(results.count(None), 45)
+        self.assertEqual(budget.admit("b"), 0)
 
-    def test_what_was_left_out_is_told(self):
-        """The next line of the kind says how many were left out."""
+    def test_returns_count_of_lines_left_out(self):
+        """The next admitted line of a kind gets the count of lines left out."""
         clock = Clock()
         budget = LineBudget(clock, rate_per_s=10, burst=1)
         for _ in range(8):
-            budget.take("a")
+            budget.admit("a")
         clock.value_s += 1.0
-        self.assertEqual(budget.take("a"), 7)
+        self.assertEqual(budget.admit("a"), 7)
 
 
 class TestLineWriter(unittest.TestCase):
@@ -34,15 +34,15 @@
         self.addCleanup(os.close, self.reader)
         self.addCleanup(os.close, self.descriptor)
 
-    def test_lines_arrive_in_order(self):
+    def test_writes_lines_in_order(self):
         """Lines are written whole and in order."""
         writer = LineWriter(self.descriptor)
         for number in range(3):
             writer.write(f"line {number}")
         self.assertEqual(os.read(self.reader, 100), b"line 0\nline 1\nline 2\n")
 
-    def test_lines_wait_for_each_other(self):
-        """Lines are kept until there are enough of them, or somebody asks."""
+    def test_buffers_lines_until_batch_is_full_or_flushed(self):
+        """Lines are buffered until the batch size is reached or on `flush`."""
         os.set_blocking(self.reader, False)
         writer = LineWriter(self.descriptor, batch_bytes=20)
         writer.write("line 0")
@@ -54,33 +54,33 @@
             writer.write(f"line {number}")
         self.assertEqual(os.read(self.reader, 100), b"line 0\nline 1\nline 2\n")
 
-    def test_stalled_reader_costs_lines_and_no_time(self):
-        """With nobody reading, lines beyond the bound are lost and nothing waits."""
+    def test_drops_lines_instead_of_blocking_on_stalled_reader(self):
+        """Without a reader, lines beyond the memory limit are lost."""
         writer = LineWriter(self.descriptor, limit_bytes=10_000)
         for _ in range(5_000):
             writer.write("x" * 99)
         self.assertGreater(writer.lost_count, 1_000)
-        self.assertLessEqual(writer._waiting_bytes, 10_000)
+        self.assertLessEqual(writer._buffered_bytes, 10_000)
 
-    def test_reader_that_comes_back_gets_what_waited(self):
-        """What was kept is written once it is read again, line by line."""
+    def test_writes_buffered_lines_when_reader_resumes(self):
+        """Buffered lines are written whole and in order once the reader resumes."""
         writer = LineWriter(self.descriptor, limit_bytes=10_000)
         for number in range(2_000):
             writer.write(f"{number:099}")
-        found = b""
+        received = b""
         for _ in range(200):
-            found += os.read(self.reader, 65_536)
+            received += os.read(self.reader, 65_536)
             writer.flush()
-            if not writer._waiting:
+            if not writer._buffered:
                 break
-        lines = found.splitlines()
+        lines = received.splitlines()
         self.assertTrue(all(len(line) == 99 for line in lines[:-1]))
-        self.assertEqual([int(one) for one in lines[:50]], list(range(50)))
+        self.assertEqual([int(line) for line in lines[:50]], list(range(50)))
 
 
 class TestBoundedHandler(unittest.TestCase):
-    def test_warning_is_written_at_once(self):
-        """What may be a process's last words does not wait for others."""
+    def test_writes_warning_immediately(self):
+        """A warning is flushed at once, because the process may end after it."""
         reader, descriptor = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, descriptor)
@@ -99,8 +99,8 @@
             log.warning("leader lost its quorum")
         self.assertEqual(len(os.read(reader, 10_000).splitlines()), 2)
 
-    def test_line_holds_the_fields_and_what_was_left_out(self):
-        """A line is JSON with its fields, and tells of those before it."""
+    def test_writes_fields_and_count_of_lines_left_out(self):
+        """A line is JSON with its fields and the count of lines left out before it."""
         reader, descriptor = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, descriptor)
