--- a/src/agatethread/settings/__init__.py
+++ b/src/agatethread/settings/__init__.py
@@ -1,4 +1,4 @@
-"""Checked settings and service documents, read from JSON with comments."""
+"""Settings, policies and service documents, read from JSON with comments."""
 
 from importlib import import_module
 from typing import TYPE_CHECKING, Any
@@ -33,9 +33,9 @@
         parse_settings,
     )
 
-#: Names that are imported when they are first used. Their modules load cattrs and
-#: json5, a sixth of the time in which a process starts that reads no such file.
-_LAZY = {
+#: Names imported on first use, with their modules. These import cattrs and json5, which
+#: are slow to import and which not every process needs.
+_LAZY_MODULES = {
     "ServiceDocument": "_document",
     "load_policies": "_loading",
     "load_settings": "_loading",
@@ -71,9 +71,9 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import a name when it is first used."""
-    if name not in _LAZY:
+    """Import a name on first use."""
+    if name not in _LAZY_MODULES:
         raise AttributeError(f"module {__name__!r} has no attribute {name!r}")
-    value = getattr(import_module(f"{__name__}.{_LAZY[name]}"), name)
+    value = getattr(import_module(f"{__name__}.{_LAZY_MODULES[name]}"), name)
     globals()[name] = value
     return value
--- a/src/agatethread/settings/_addresses.py
+++ b/src/agatethread/settings/_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as ``IP:port`` text."""
+"""Parsing and formatting of addresses as ``IP:port`` text."""
 
 import ipaddress
 
@@ -6,22 +6,22 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split ``IP:port`` text.
+    """Parse ``IP:port`` text.
 
     Parameters
     ----------
     text : str
-        An IPv4 number, a colon and a port.
+        An IPv4 address, a colon and a port.
 
     Returns
     -------
     tuple of (str, int)
-        Host and port as the socket functions take them.
+        Host and port, as used by the socket functions.
 
     Raises
     ------
     ValueError
-        If the text is not an IPv4 number and a port.
+        If the text is not an IPv4 address with a port.
     """
     host, separator, port_text = text.rpartition(":")
     is_number = port_text.isascii() and port_text.isdecimal()
@@ -37,7 +37,7 @@
 
 
 def format_address(address: tuple[str, int]) -> str:
-    """Join a host and a port.
+    """Return a host and a port as ``IP:port`` text.
 
     Parameters
     ----------
@@ -53,19 +53,19 @@
 
 
 def listen_address(address: str, listen_host: str) -> str:
-    """Find where to listen for what is sent to an advertised address.
+    """Return the address to listen at for an advertised address.
 
     Parameters
     ----------
     address : str
-        ``IP:port`` that others are told.
+        Advertised address as ``IP:port``.
     listen_host : str
-        IP number to listen at; empty where it is the advertised one.
+        IP address to listen at; empty for the advertised one.
 
     Returns
     -------
     str
-        ``IP:port``, the port unchanged.
+        ``IP:port`` with the advertised port.
     """
     host, port = parse_address(address)
     return format_address((listen_host or host, port))
--- a/src/agatethread/settings/_checking.py
+++ b/src/agatethread/settings/_checking.py
@@ -1,4 +1,4 @@
-"""Structure raw JSON into frozen data classes, with every fault named."""
+"""Converts JSON into frozen data classes and reports every fault."""
 
 import dataclasses
 import functools
@@ -27,7 +27,7 @@
 
 
 class _WrongValueError(Exception):
-    """A raw value does not have the expected type or range."""
+    """A raw value does not have the expected type."""
 
     def __init__(self, value: object, expected: str):
         self.value = value
@@ -36,12 +36,12 @@
 
 
 def unit_of(name: str) -> str:
-    """Name the unit that a field's suffix stands for.
+    """Return the unit that a field name's suffix stands for.
 
     Parameters
     ----------
     name : str
-        Field name.
+        Name of the field.
 
     Returns
     -------
@@ -54,7 +54,7 @@
     return ""
 
 
-def _strict(expected_type: type, name: str) -> Callable[[Any, Any], Any]:
+def _strict_hook(expected_type: type, name: str) -> Callable[[Any, Any], Any]:
     def structure(value: Any, _: Any) -> Any:
         is_bool = isinstance(value, bool)
         if is_bool != (expected_type is bool):
@@ -78,7 +78,7 @@
         (str, "a string"),
         (bool, "true or false"),
     ):
-        converter.register_structure_hook(kind, _strict(kind, name))
+        converter.register_structure_hook(kind, _strict_hook(kind, name))
     return converter
 
 
@@ -91,7 +91,7 @@
     return f"{expected} ({unit})" if unit else expected
 
 
-def _walk_faults(
+def _structuring_faults(
     source: str, path: str, error: BaseException, raw: Any
 ) -> Iterator[FieldError]:
     if isinstance(error, ClassValidationError):
@@ -99,15 +99,15 @@
         for inner, note in with_notes:
             field = f"{path}.{note.name}" if path else note.name
             part = raw.get(note.name) if isinstance(raw, dict) else raw
-            yield from _walk_faults(source, field, inner, part)
+            yield from _structuring_faults(source, field, inner, part)
         for inner in without_notes:
-            yield from _walk_faults(source, path, inner, raw)
+            yield from _structuring_faults(source, path, inner, raw)
         return
     if isinstance(error, IterableValidationError):
         with_notes, _ = error.group_exceptions()
         for inner, note in with_notes:
             part = raw[note.index] if isinstance(raw, list) else raw
-            yield from _walk_faults(source, f"{path}[{note.index}]", inner, part)
+            yield from _structuring_faults(source, f"{path}[{note.index}]", inner, part)
         return
     if isinstance(error, ForbiddenExtraKeysError):
         for key in sorted(error.extra_fields):
@@ -136,13 +136,12 @@
     name: str
     #: Data class of the field's value; None for any other value.
     nested: type | None
-    bounds: Mapping[str, Any]
+    constraints: Mapping[str, Any]
 
 
 @functools.cache
 def _rules_of(data_class: type) -> tuple[_FieldRule, ...]:
-    # Kept, since it is the same each time: a status report of 250 bytes took 37 us of
-    # processor time to read, and takes 18.
+    # Cached, because resolving the type hints is slow.
     hints = get_type_hints(data_class)
     return tuple(
         _FieldRule(field.name, _nested_class(hints[field.name]), field.metadata)
@@ -159,29 +158,29 @@
         value = raw[rule.name]
         name = f"{path}.{rule.name}" if path else rule.name
         if rule.nested is None:
-            yield from _check_value(source, name, value, rule.bounds)
+            yield from _check_value(source, name, value, rule.constraints)
             continue
         rows = enumerate(value) if isinstance(value, list) else ((None, value),)
         for number, row in rows:
             if isinstance(row, dict):
-                place = name if number is None else f"{name}[{number}]"
-                yield from _check_ranges(source, place, rule.nested, row)
+                row_path = name if number is None else f"{name}[{number}]"
+                yield from _check_ranges(source, row_path, rule.nested, row)
 
 
-def _check_value(source: str, name: str, value: Any, rules: Any) -> Iterator[Any]:
-    low, high = rules.get("minimum"), rules.get("maximum")
+def _check_value(source: str, name: str, value: Any, constraints: Any) -> Iterator[Any]:
+    low, high = constraints.get("minimum"), constraints.get("maximum")
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     if low is not None and is_number and not low <= value <= high:
         expected = f"between {low} and {high}"
         yield FieldError(source, name, value, _expected_with_unit(name, expected))
 
-    choices = rules.get("choices")
+    choices = constraints.get("choices")
     for item in value if isinstance(value, list) else (value,):
         if not isinstance(item, str):
             continue
         if choices and item not in choices:
             yield FieldError(source, name, item, f"one of {', '.join(choices)}")
-        if rules.get("address") and item:
+        if constraints.get("address") and item:
             yield from _check_address(source, name, item)
 
 
@@ -193,7 +192,7 @@
 
 
 def _load(text: str, is_plain_json: bool) -> Any:
-    # The reader that knows comments is slower by two orders of magnitude.
+    # Tries the json module first, since json5 is far slower.
     try:
         return json.loads(text)
     except json.JSONDecodeError:
@@ -210,23 +209,23 @@
     is_plain_json: bool = False,
     ignore_unknown: bool = False,
 ) -> Any:
-    """Read JSON with comments into a frozen data class.
+    """Parse and check JSON with comments into a frozen data class.
 
     Parameters
     ----------
     source : str
-        What to call the text in errors, usually its file's path.
+        Name of the text in errors, usually the path of its file.
     text : str
         JSON5 text.
     data_class : type
         Frozen data class; its fields' metadata may hold ``minimum``, ``maximum``,
         ``choices`` and ``address``.
     group : type
-        Exception group that carries the faults.
+        Exception group to raise with the faults.
     is_plain_json : bool, default=False
-        Whether comments are a fault.
+        Whether comments are faults.
     ignore_unknown : bool, default=False
-        Whether fields that the data class lacks are passed over.
+        Whether unknown fields are ignored.
 
     Returns
     -------
@@ -252,7 +251,7 @@
         converter = _LENIENT_CONVERTER if ignore_unknown else _CONVERTER
         data = converter.structure(raw, data_class)
     except ClassValidationError as error:
-        faults += _walk_faults(source, "", error, raw)
+        faults += _structuring_faults(source, "", error, raw)
     if faults:
         raise group(f"{source} has faults", faults)
     return data
--- a/src/agatethread/settings/_document.py
+++ b/src/agatethread/settings/_document.py
@@ -1,4 +1,4 @@
-"""The document that drives one service."""
+"""The service document, which configures one service."""
 
 from dataclasses import dataclass, field
 
@@ -13,35 +13,35 @@
 
 @dataclass(frozen=True)
 class ServiceDocument:
-    """What a service's team says of it."""
+    """Configuration of one service, written by its team."""
 
     service: str
     version: int = field(metadata={"minimum": 1, "maximum": 2**53})
-    #: 0 is served first, 9 is shed first.
+    #: Urgency of requests; 0 is served first, 9 is shed first.
     urgency: int = _bounded(5, 0, 9)
-    #: Longest queue of requests waiting for a slot.
+    #: Maximum number of requests that wait for a slot.
     queue_limit_count: int = _bounded(1_000, 0, 100_000)
-    #: Budget of retries, as a share of requests.
+    #: Retry budget, as a share of the requests.
     retry_ratio: float = _bounded(0.2, 0.0, 1.0)
-    #: Time over which a new backend server's share grows to full.
+    #: Time over which the share of a new backend server grows to its full size.
     ramp_s: float = _bounded(5.0, 0.0, 3600.0)
-    #: Longest time that streams may stay on a draining backend server.
+    #: Maximum time that streams may stay on a draining backend server.
     drain_limit_s: float = _bounded(14_400.0, 0.0, 604_800.0)
-    #: Longest deadline that a request may ask for.
+    #: Maximum deadline of a request.
     deadline_limit_ms: int = _bounded(60_000, 1, 3_600_000)
-    #: Weight of each failure domain's backend servers; 1 where none is given.
+    #: Weight of the backend servers of each failure domain; 1 if missing.
     domain_weights: dict[str, float] = field(default_factory=dict)
-    #: Free text for the team.
+    #: Free text, not interpreted.
     note: str = ""
 
 
 def parse_document(source: str, text: str) -> ServiceDocument:
-    """Read and check a service document.
+    """Parse and check a service document.
 
     Parameters
     ----------
     source : str
-        What to call the text in errors.
+        Name of the text in errors.
     text : str
         JSON with comments.
 
--- a/src/agatethread/settings/_loading.py
+++ b/src/agatethread/settings/_loading.py
@@ -1,4 +1,4 @@
-"""Read a process's settings file."""
+"""Reading and checking of settings files and policy files."""
 
 from pathlib import Path
 
@@ -8,7 +8,7 @@
 from agatethread.settings._policies import Policies
 
 
-def _cross_faults(source: str, settings: Settings) -> list[FieldError]:
+def _cross_field_faults(source: str, settings: Settings) -> list[FieldError]:
     faults = []
     for role in settings.roles:
         if getattr(settings, role) is None:
@@ -29,12 +29,12 @@
 
 
 def parse_settings(source: str, text: str) -> Settings:
-    """Check the text of a settings file.
+    """Parse and check the text of a settings file.
 
     Parameters
     ----------
     source : str
-        What to call the text in errors.
+        Name of the text in errors.
     text : str
         JSON with comments.
 
@@ -49,7 +49,7 @@
         With a `FieldError` for each fault.
     """
     settings = structure_checked(source, text, Settings, SettingsError)
-    faults = _cross_faults(source, settings)
+    faults = _cross_field_faults(source, settings)
     if faults:
         raise SettingsError(f"{source} has faults", faults)
     return settings
@@ -61,7 +61,7 @@
     Parameters
     ----------
     path : str
-        The file.
+        Path of the file.
 
     Returns
     -------
@@ -73,16 +73,16 @@
     SettingsError
         If the file can't be read or has faults.
     """
-    return parse_settings(path, _read(path))
+    return parse_settings(path, _read_file(path))
 
 
 def load_policies(path: str) -> Policies:
-    """Read and check a file of policies.
+    """Read and check a policies file.
 
     Parameters
     ----------
     path : str
-        The file, JSON with comments; what it does not name keeps its default.
+        Path of the file, JSON with comments; missing policies have their defaults.
 
     Returns
     -------
@@ -94,16 +94,16 @@
     SettingsError
         If the file can't be read or has faults.
     """
-    return parse_policies(path, _read(path))
+    return parse_policies(path, _read_file(path))
 
 
 def parse_policies(source: str, text: str) -> Policies:
-    """Check the text of a file of policies.
+    """Parse and check the text of a policies file.
 
     Parameters
     ----------
     source : str
-        What to call the text in errors.
+        Name of the text in errors.
     text : str
         JSON with comments.
 
@@ -120,7 +120,7 @@
     return structure_checked(source, text, Policies, SettingsError)
 
 
-def _read(path: str) -> str:
+def _read_file(path: str) -> str:
     try:
         return Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/src/agatethread/settings/_model.py
+++ b/src/agatethread/settings/_model.py
@@ -1,4 +1,4 @@
-"""The settings of a process."""
+"""Data classes of the settings of a process."""
 
 from dataclasses import dataclass, field
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class LoggingSettings:
-    """How a process writes its log."""
+    """Format and level of a process's log."""
 
     format: str = field(default="human", metadata={"choices": ("human", "json")})
     level: str = field(
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True)
 class TlsSettings:
-    """Key files of a process, for gRPC with both sides authenticated."""
+    """Key files of a process for gRPC with mutual TLS."""
 
     certificate_file: str
     key_file: str
@@ -35,71 +35,72 @@
 
 @dataclass(frozen=True)
 class EntrySettings:
-    """Addresses and limits of the entry role."""
+    """Addresses, timeouts and limits of the entry role."""
 
-    #: Where callers' datagrams arrive.
+    #: Address that receives the datagrams of callers.
     listen: str = _address()
-    #: Where backend servers and other entry instances send.
+    #: Address that receives the datagrams of backend servers and other entry instances.
     inner: str = _address()
     #: File with the key that seals cookies, tokens and peer datagrams.
     seal_key_file: str
-    #: Address under which the others reach `inner`, where it differs.
+    #: Address at which other processes reach `inner`, if it differs.
     inner_advertised: str = _address(default="")
-    #: Inner addresses of a few entry instances, to join the fleet.
+    #: Inner addresses of some entry instances, through which this one joins the fleet.
     seeds: tuple[str, ...] = _address(default=())
     #: gRPC addresses of control instances.
     control: tuple[str, ...] = _address(default=())
-    #: Key that backend servers sign announcements with; empty: unsigned ones pass.
+    #: File with the key that signs announcements of backend servers; empty: unsigned
+    #: announcements are accepted.
     announce_key_file: str = ""
-    #: Time between probes of other instances.
+    #: Interval between probes of other instances.
     probe_interval_s: float = _bounded(0.2, 0.02, 10.0)
-    #: Time from suspecting an instance to calling it dead.
+    #: Time from suspecting an instance to declaring it dead.
     suspicion_s: float = _bounded(0.5, 0.05, 60.0)
-    #: Time an instance waits after joining before it dispatches.
+    #: Time from joining the fleet until an instance dispatches requests.
     warm_up_s: float = _bounded(1.5, 0.0, 60.0)
-    #: How long a verdict is kept for late copies.
+    #: Time for which the verdict on an operation is stored, for late copies.
     retention_s: float = _bounded(60.0, 1.0, 3600.0)
-    #: Bound on tracked operations.
+    #: Maximum number of tracked operations.
     operation_limit_count: int = _bounded(200_000, 1, 10_000_000)
-    #: Bound on flows whose placement this instance counts.
+    #: Maximum number of flows whose placement this instance counts.
     flow_limit_count: int = _bounded(500_000, 1, 10_000_000)
-    #: Time a claim may take before the operation is refused.
+    #: Timeout of a claim, after which the operation is refused.
     claim_timeout_s: float = _bounded(0.4, 0.01, 10.0)
-    #: Memory for requests and answers that arrive in fragments.
+    #: Memory for requests and answers that are received in fragments.
     transfer_limit_bytes: int = _bounded(64 << 20, 1 << 20, 1 << 34)
-    #: Share of it that one caller may hold.
+    #: Share of `transfer_limit_bytes` that one caller may use.
     caller_transfer_ratio: float = _bounded(0.25, 0.01, 1.0)
-    #: Longest time a stopping instance waits for its operations.
+    #: Maximum time that a stopping instance waits for its operations.
     stop_limit_s: float = _bounded(30.0, 0.0, 3600.0)
 
 
 @dataclass(frozen=True)
 class ControlSettings:
-    """Members and storage of the control role."""
+    """Members, timeouts and storage of the control role."""
 
     data_dir: str
-    #: gRPC address of each control instance, by its name, this one among them.
+    #: gRPC addresses of all control instances by name, including this one.
     members: dict[str, str] = field(default_factory=dict)
     heartbeat_interval_s: float = _bounded(0.1, 0.01, 10.0)
     election_timeout_s: float = _bounded(0.6, 0.05, 60.0)
-    #: Log entries kept before a snapshot replaces them.
+    #: Number of log entries after which a snapshot replaces them.
     snapshot_entry_count: int = _bounded(1_000, 10, 1_000_000)
 
 
 @dataclass(frozen=True)
 class Settings:
-    """All the settings of one process."""
+    """All settings of one process."""
 
     name: str
     failure_domain: str
     roles: tuple[str, ...] = field(metadata={"choices": ROLES})
-    #: Where operators and control instances reach this process by gRPC.
+    #: gRPC address at which operators and control instances reach this process.
     admin: str = _address()
     entry: EntrySettings | None = None
     control: ControlSettings | None = None
     tls: TlsSettings | None = None
-    #: Lets gRPC run without TLS; a warning is logged.
+    #: Whether gRPC may run without TLS; a warning is logged.
     plain_text: bool = False
-    #: Prometheus text endpoint; empty for none.
+    #: Address of the Prometheus text endpoint; empty for none.
     metrics: str = _address(default="")
     logging: LoggingSettings = field(default_factory=LoggingSettings)
--- a/src/agatethread/settings/_parts.py
+++ b/src/agatethread/settings/_parts.py
@@ -1,26 +1,26 @@
-"""Parts of the product that are on only where a deployment calls for them."""
+"""Optional features, enabled only in deployments that need them."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class Parts:
-    """Which parts are on; without them instances serve as they do by themselves.
+    """The optional features that are enabled.
 
     Attributes
     ----------
     relays_openings : bool
-        Whether under pressure entry instances relay openings to the few of their
-        failure domain that place them by exact counts, let them wait for a slot there,
-        and refuse the less urgent first.
+        Whether entry instances under pressure relay openings to the dispatchers of
+        their failure domain, which place them by exact counts, queue them for a slot
+        and refuse the less urgent ones first.
     judges_answers : bool
-        Whether backend servers get less new work, or none, by the answers that callers
-        have of them.
+        Whether backend servers get less new work, or none, depending on their answers
+        to callers.
     """
 
     relays_openings: bool = False
     judges_answers: bool = False
 
 
-#: Where nothing calls for any.
+#: No optional feature is enabled.
 NO_PARTS = Parts()
--- a/tests/settings/test_loading.py
+++ b/tests/settings/test_loading.py
@@ -38,20 +38,20 @@
 
 
 class TestParseSettings(unittest.TestCase):
-    def test_comments_are_allowed(self):
-        """Settings are JSON with comments."""
+    def test_accepts_comments(self):
+        """Comments in the JSON of settings are ignored."""
         text = "// first\n" + json.dumps(GOOD)[:-1] + ", /* last */ }"
         self.assertEqual(parse_settings("file", text).name, "entry-1")
 
-    def test_every_fault_is_named_at_once(self):
-        """Each fault names file, field, value, type and unit, all in one group."""
+    def test_reports_all_faults_together(self):
+        """One group holds all faults with file, field, value and expected type."""
         bad = GOOD | {
             "name": 3,
             "roles": ["waiter"],
             "entry": GOOD["entry"]
             | {"listen": "nowhere", "suspicion_s": 900, "warm_up_s": "2", "colour": 1},
         }
-        found = faults(bad)
+        messages = faults(bad)
         for fault in (
             "file: name: got 3, expected a string",
             "file: roles: got 'waiter', expected one of entry, control",
@@ -60,31 +60,31 @@
             "file: entry.warm_up_s: got '2', expected a number (seconds)",
             "file: entry.colour: got 1, expected no such field",
         ):
-            self.assertTrue(any(line.endswith(fault) for line in found), fault)
+            self.assertTrue(any(line.endswith(fault) for line in messages), fault)
 
-    def test_roles_need_their_settings_and_keys(self):
-        """A role without its part, and gRPC without keys, are faults."""
+    def test_requires_settings_of_roles_and_keys(self):
+        """A role without its settings and gRPC without keys are faults."""
         self.assertIn("control", " ".join(faults(GOOD | {"roles": ["control"]})))
         self.assertIn("tls", " ".join(faults(GOOD | {"plain_text": False})))
 
     @given(JSON)
-    def test_any_json_gives_settings_or_faults(self, data):
-        """Whatever JSON comes, the answer is settings or a SettingsError."""
+    def test_any_json_is_parsed_or_rejected(self, data):
+        """Any JSON either gives settings or raises SettingsError with faults."""
         for text in (json.dumps(data), json.dumps(GOOD | {"entry": data})):
             try:
                 parse_settings("file", text)
             except SettingsError as error:
                 self.assertTrue(error.exceptions)
 
-    def test_no_json_is_one_fault(self):
-        """Text that is no JSON gives one clear fault."""
+    def test_rejects_text_that_is_not_json(self):
+        """Text that is not JSON raises SettingsError."""
         with self.assertRaises(SettingsError):
             parse_settings("file", "{")
 
 
 class TestParseDocument(unittest.TestCase):
-    def test_ranges_and_names_are_checked(self):
-        """A version below 1 and an unknown field are both named."""
+    def test_reports_range_and_unknown_field(self):
+        """A version below 1 and an unknown field are both reported."""
         with self.assertRaises(DocumentError) as caught:
             parse_document("tab", '{service: "tab", version: 0, colour: 1}')
         text = " ".join(str(fault) for fault in caught.exception.exceptions)
--- a/tests/settings/test_page.py
+++ b/tests/settings/test_page.py
@@ -9,18 +9,18 @@
 
 
 class TestSettingsPage(unittest.TestCase):
-    def test_reference_is_what_the_classes_say(self):
-        """The settings reference is the one made from the checked classes."""
+    def test_page_matches_data_classes(self):
+        """The settings page equals the one generated from the data classes."""
         script = runpy.run_path(str(ROOT / "scripts" / "settings_page.py"))
         page = (ROOT / "docs" / "operations" / "settings.md").read_text()
         self.assertEqual(page, script["make_page"]())
 
-    def test_each_policy_and_part_says_what_it_is_for(self):
-        """The comment or docstring of each is found, whole."""
+    def test_each_policy_and_part_has_purpose(self):
+        """The comment or doc string of each field is found and is on the page."""
         script = runpy.run_path(str(ROOT / "scripts" / "settings_page.py"))
         for data_class in (Policies, Parts):
             purposes = script["_purposes"](data_class)
-            for one in fields(data_class):
-                with self.subTest(one.name):
-                    self.assertRegex(purposes[one.name], r"^[A-Z].*\.$")
-                    self.assertIn(purposes[one.name], script["make_page"]())
+            for field in fields(data_class):
+                with self.subTest(field.name):
+                    self.assertRegex(purposes[field.name], r"^[A-Z].*\.$")
+                    self.assertIn(purposes[field.name], script["make_page"]())
--- a/tests/settings/test_policies.py
+++ b/tests/settings/test_policies.py
@@ -16,19 +16,19 @@
     switch_off,
 )
 
-NAMES = [one.name for one in policy_fields()]
+NAMES = [field.name for field in policy_fields()]
 
 
 class TestPolicies(unittest.TestCase):
-    def test_file_changes_what_it_names(self):
-        """Comments are allowed, and what is not named keeps its default."""
-        found = parse_policies(
+    def test_file_overrides_defaults(self):
+        """Comments are allowed, and missing policies keep their defaults."""
+        policies = parse_policies(
             "file", "{cold_factor: 2, /* off */ paces_packets: false}"
         )
-        self.assertEqual(found, Policies(cold_factor=2.0, paces_packets=False))
+        self.assertEqual(policies, Policies(cold_factor=2.0, paces_packets=False))
 
-    def test_every_fault_is_named(self):
-        """Unknown names, other types and values out of bounds are named together."""
+    def test_reports_all_faults_together(self):
+        """Unknown names, wrong types and values out of range are reported together."""
         text = '{colour: 1, cold_factor: 0.5, turn_wait_s: "2", keeps_hints: 0}'
         with self.assertRaises(SettingsError) as caught:
             parse_policies("file", text)
@@ -38,24 +38,24 @@
         )
         self.assertIn("got '2', expected a number (seconds)", faults["turn_wait_s"])
 
-    def test_file_that_is_not_there(self):
-        """A file that can't be read is a fault, not the defaults."""
+    def test_rejects_missing_file(self):
+        """A file that can't be read raises SettingsError."""
         with self.assertRaises(SettingsError):
             load_policies("/nowhere/policies.json5")
 
     @given(st.sampled_from(NAMES))
-    def test_switching_off_changes_one_policy(self, name):
-        """Off differs from the default, is allowed in a file, and leaves the rest."""
+    def test_switch_off_changes_one_policy(self, name):
+        """The off value differs from the default, is valid and changes nothing else."""
         off = switch_off(DEFAULT_POLICIES, name)
-        changed = [one for one in NAMES if getattr(off, one) != _default(one)]
+        changed = [field for field in NAMES if getattr(off, field) != _default(field)]
         self.assertEqual(changed, [name])
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "policies.json5"
             path.write_text(json.dumps({name: getattr(off, name)}))
             self.assertEqual(load_policies(str(path)), off)
 
-    def test_unknown_policy_is_not_switched_off(self):
-        """A name with a typing error is refused."""
+    def test_switch_off_rejects_unknown_policy(self):
+        """An unknown name raises KeyError."""
         with self.assertRaises(KeyError):
             switch_off(DEFAULT_POLICIES, "colour")
 
