--- a/src/agatethread/exceptions.py
+++ b/src/agatethread/exceptions.py
@@ -1,4 +1,4 @@
-"""Every failure that agatethread raises, each with a type of its own."""
+"""Exceptions that agatethread raises."""
 
 __all__ = [
     "AgatethreadError",
@@ -25,15 +25,15 @@
 
 
 class AgatethreadError(Exception):
-    """Base class of every error raised by this package."""
+    """Base class of the errors of this package."""
 
 
 class DatagramError(AgatethreadError):
-    """A datagram could not be decoded or has no meaning here."""
+    """A datagram is malformed or not valid for its receiver."""
 
 
 class SealError(AgatethreadError):
-    """A sealed value was not issued under any of our keys."""
+    """A sealed value was not sealed with any known key, or a key is invalid."""
 
 
 class PayloadTooLargeError(AgatethreadError):
@@ -41,7 +41,7 @@
 
 
 class TransferLimitError(AgatethreadError):
-    """A message in fragments needs more memory than is left for it."""
+    """A fragmented message needs more memory than is available for it."""
 
 
 class FieldError(AgatethreadError):
@@ -54,9 +54,9 @@
     field : str
         Dotted path of the field.
     value : object
-        The value found.
+        The wrong value.
     expected : str
-        Expected type and unit.
+        Description of the expected value, with its unit.
     """
 
     def __init__(self, source: str, field: str, value: object, expected: str):
@@ -76,14 +76,14 @@
 
 
 class ReportRefusedError(AgatethreadError):
-    """A status report contradicts what is known, so another writer sent it.
+    """A status report contradicts the known state of its run.
 
     Parameters
     ----------
     run_id : str
-        Id that the report names.
+        Run id in the report.
     reason : str
-        What it contradicts.
+        Reason for the refusal.
     """
 
     def __init__(self, run_id: str, reason: str):
@@ -93,28 +93,28 @@
 
 
 class SettingsError(ExceptionGroup):
-    """All the faults of one settings file."""
+    """All faults of a settings file."""
 
 
 class DocumentError(ExceptionGroup):
-    """All the faults of one service document."""
+    """All faults of a document."""
 
 
 class ChangeRefusedError(AgatethreadError):
-    """The control log did not accept a change."""
+    """The control instances refused a change."""
 
 
 class VersionConflictError(ChangeRefusedError):
-    """Another change already holds the version that was asked for."""
+    """Another change already has the requested version."""
 
 
 class NotLeaderError(AgatethreadError):
-    """The control instance that was asked does not lead the log.
+    """The control instance that received a call is not the leader of the log.
 
     Parameters
     ----------
     leader : str
-        Name of the leader as far as known, or an empty string.
+        Name of the leader; empty if unknown.
     """
 
     def __init__(self, leader: str):
@@ -123,11 +123,11 @@
 
 
 class UnavailableError(AgatethreadError):
-    """No control instance could answer in time."""
+    """No instance could answer a call in time."""
 
 
 class LogCorruptError(AgatethreadError):
-    """A record in the middle of the control log fails its checksum."""
+    """A record of the control log is corrupt."""
 
 
 class DiskFullError(AgatethreadError):
@@ -135,7 +135,7 @@
 
 
 class FlowBrokenError(AgatethreadError):
-    """A flow ended other than by its caller or backend server closing it."""
+    """A flow ended without being closed by its caller or backend server."""
 
 
 class OperationRefusedError(AgatethreadError):
@@ -146,7 +146,7 @@
     reason : str
         Name of the reason.
     retry_after_s : float
-        When to come back.
+        Time after which to retry.
     """
 
     def __init__(self, reason: str, retry_after_s: float):
--- a/src/agatethread/wire/__init__.py
+++ b/src/agatethread/wire/__init__.py
@@ -1,4 +1,4 @@
-"""Inner protocol: datagrams, sealed values and the generated messages."""
+"""Internal protocol: datagrams, sealed values and the generated messages."""
 
 from agatethread.wire._codec import (
     MAX_DATAGRAM_BYTES,
--- a/src/agatethread/wire/_codec.py
+++ b/src/agatethread/wire/_codec.py
@@ -1,4 +1,4 @@
-"""Decode and encode datagrams; every fault is a `DatagramError`."""
+"""Decoding and encoding of datagrams; invalid ones raise `DatagramError`."""
 
 from google.protobuf.message import DecodeError
 
@@ -7,13 +7,13 @@
 from agatethread.wire.datagram_pb2 import Envelope
 from agatethread.wire.peer_pb2 import Peer
 
-#: Largest datagram taken; fits an Ethernet frame with room for an outer header.
+#: Largest datagram accepted; fits an Ethernet frame with room for an outer header.
 MAX_DATAGRAM_BYTES = 1_400
-#: Largest payload; leaves room for what an entry instance adds.
+#: Largest payload; leaves room for the fields that an entry instance adds.
 MAX_PAYLOAD_BYTES = 1_000
-#: Largest peer datagram: a relayed datagram with its caller and seal.
+#: Largest peer datagram; fits a relayed datagram with its caller and seal.
 MAX_PEER_BYTES = 1_700
-#: First byte of a peer datagram; no protocol buffer message begins with it.
+#: First byte of a peer datagram; no protocol buffer message starts with it.
 PEER_PREFIX = b"\xff"
 
 
@@ -28,12 +28,12 @@
     Returns
     -------
     Envelope
-        The message, with a kind set.
+        The message; its kind is set.
 
     Raises
     ------
     DatagramError
-        If it is too large, malformed or of no kind.
+        If the datagram is too large, is malformed or has no kind.
     """
     if len(data) > MAX_DATAGRAM_BYTES:
         raise DatagramError("oversized")
@@ -49,14 +49,14 @@
 
 
 def encode_peer(sealer: Sealer, peer: Peer) -> bytes:
-    """Seal a datagram to another entry instance.
+    """Encode and seal a message to another entry instance.
 
     Parameters
     ----------
     sealer : Sealer
         Holds the keys.
     peer : Peer
-        The message.
+        The message to send.
 
     Returns
     -------
@@ -67,7 +67,7 @@
 
 
 def decode_peer(sealer: Sealer, data: bytes) -> Peer:
-    """Open a datagram of another entry instance.
+    """Verify and decode a datagram of another entry instance.
 
     Parameters
     ----------
@@ -84,9 +84,9 @@
     Raises
     ------
     SealError
-        If it is not sealed by one of ours.
+        If none of the sealer's keys sealed the datagram.
     DatagramError
-        If it is too large or malformed.
+        If the datagram is too large or malformed.
     """
     if len(data) > MAX_PEER_BYTES:
         raise DatagramError("oversized")
--- a/src/agatethread/wire/_labels.py
+++ b/src/agatethread/wire/_labels.py
@@ -1,8 +1,8 @@
-"""Sealed values that let any instance act on a packet without remembering it.
+"""Sealed values that let instances process packets without state for each flow.
 
-A cookie names the backend server of a flow and travels with the caller (the idea of
-Cheetah, Barbette et al., NSDI 2020). A return label names the caller and travels with
-the backend server. A token names the two instances that may decide an operation.
+A cookie names the backend server of a flow and is echoed by the caller (as in Cheetah,
+Barbette et al., NSDI 2020). A return label names the caller and is echoed by the
+backend server. A token names the two instances that may decide an operation.
 """
 
 import struct
@@ -30,7 +30,7 @@
 
 
 class MemberRef(NamedTuple):
-    """One run of an entry instance: its inner address and incarnation."""
+    """A run of an entry instance, by its inner address and incarnation."""
 
     address: bytes
     incarnation: int
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cookie:
-    """Which backend server serves a flow."""
+    """Cookie with the backend server of a flow."""
 
     endpoint: bytes
     incarnation: int
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamLabel:
-    """Which caller a flow's replies go to."""
+    """Return label with the caller that gets the replies of a flow."""
 
     caller: bytes
     service: int
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperationLabel:
-    """Who waits for the answer of an operation."""
+    """Return label with the caller and the deciding instances of an operation."""
 
     caller: bytes
     owner: MemberRef
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Token:
-    """The only two instances that may decide an operation born with it."""
+    """Token with the only two instances that may decide an operation."""
 
     service: int
     owner: MemberRef
@@ -81,46 +81,46 @@
 
 @lru_cache(maxsize=65_536)
 def service_hash(name: str) -> int:
-    """Hash a service's name into the 64 bits that sealed values carry.
+    """Return the 64-bit hash of a service name, as used in sealed values.
 
     Parameters
     ----------
     name : str
-        The service.
+        Name of the service.
 
     Returns
     -------
     int
-        xxHash64 of the name.
+        The xxHash64 of the name.
     """
     return xxh64_intdigest(name.encode())
 
 
 @lru_cache(maxsize=65_536)
 def pack_address(address: tuple[str, int]) -> bytes:
-    """Pack a host and port into 6 bytes.
+    """Pack an IPv4 address and a port into 6 bytes.
 
     Parameters
     ----------
     address : tuple of (str, int)
-        IPv4 number and port.
+        Host and port.
 
     Returns
     -------
     bytes
-        Packed form.
+        The packed address.
     """
     return _ADDRESS.pack(inet_aton(address[0]), address[1])
 
 
 @lru_cache(maxsize=65_536)
 def unpack_address(packed: bytes) -> tuple[str, int]:
-    """Unpack what `pack_address` returned.
+    """Unpack an address that `pack_address` returned.
 
     Parameters
     ----------
     packed : bytes
-        6 bytes.
+        The packed address.
 
     Returns
     -------
@@ -154,12 +154,12 @@
     sealer : Sealer
         Holds the keys.
     cookie : Cookie
-        What to seal.
+        The value to seal.
 
     Returns
     -------
     bytes
-        38 bytes.
+        The sealed cookie, of 38 bytes.
     """
     body = _COOKIE.pack(
         cookie.endpoint, cookie.incarnation, cookie.service, cookie.flow_id
@@ -168,14 +168,14 @@
 
 
 def parse_cookie(sealer: Sealer, sealed: bytes) -> Cookie:
-    """Open a cookie.
+    """Verify and unpack a cookie.
 
     Parameters
     ----------
     sealer : Sealer
         Holds the keys.
     sealed : bytes
-        What a caller echoed.
+        The sealed cookie that a caller echoed.
 
     Returns
     -------
@@ -185,7 +185,7 @@
     Raises
     ------
     SealError
-        If it is not ours.
+        If none of the sealer's keys sealed the value.
     """
     return Cookie(*_COOKIE.unpack(_open_sized(sealer, b"cookie", sealed, _COOKIE.size)))
 
@@ -198,7 +198,7 @@
     sealer : Sealer
         Holds the keys.
     label : StreamLabel
-        What to seal.
+        The value to seal.
 
     Returns
     -------
@@ -219,7 +219,7 @@
     sealer : Sealer
         Holds the keys.
     label : OperationLabel
-        What to seal.
+        The value to seal.
 
     Returns
     -------
@@ -238,14 +238,14 @@
 
 
 def parse_label(sealer: Sealer, sealed: bytes) -> StreamLabel | OperationLabel:
-    """Open a return label of either sort.
+    """Verify and unpack the return label of a flow or an operation.
 
     Parameters
     ----------
     sealer : Sealer
         Holds the keys.
     sealed : bytes
-        What a backend server echoed.
+        The sealed label that a backend server echoed.
 
     Returns
     -------
@@ -255,7 +255,7 @@
     Raises
     ------
     SealError
-        If it is not ours.
+        If none of the sealer's keys sealed the value.
     """
     body = sealer.open(b"label", sealed)
     if len(body) == _STREAM_LABEL.size and body[:1] == _STREAM:
@@ -281,7 +281,7 @@
     sealer : Sealer
         Holds the keys.
     token : Token
-        What to seal.
+        The value to seal.
 
     Returns
     -------
@@ -295,14 +295,14 @@
 
 
 def parse_token(sealer: Sealer, sealed: bytes) -> Token:
-    """Open a token.
+    """Verify and unpack a token.
 
     Parameters
     ----------
     sealer : Sealer
         Holds the keys.
     sealed : bytes
-        The first part of an operation id.
+        The sealed token, which is the first part of an operation id.
 
     Returns
     -------
@@ -312,7 +312,7 @@
     Raises
     ------
     SealError
-        If it is not ours.
+        If none of the sealer's keys sealed the value.
     """
     body = _open_sized(sealer, b"token", sealed, _TOKEN.size)
     service, owner, standby = _TOKEN.unpack(body)
@@ -325,7 +325,7 @@
     Parameters
     ----------
     operation_id : bytes
-        As chosen by a caller.
+        Operation id, chosen by a caller.
 
     Returns
     -------
--- a/src/agatethread/wire/_seal.py
+++ b/src/agatethread/wire/_seal.py
@@ -1,4 +1,4 @@
-"""Keyed sealing of short values (BLAKE2b, RFC 7693, in its keyed mode)."""
+"""Authentication of short values with keyed BLAKE2b (RFC 7693)."""
 
 import hmac
 from hashlib import blake2b
@@ -13,17 +13,17 @@
 
 
 class Sealer:
-    """Seals values under the newest key and opens them under any of its keys.
+    """Seals values with the first key and verifies them with any of its keys.
 
     Parameters
     ----------
     keys : list of bytes
-        16 to 64 bytes each; the first one seals.
+        Keys of 16 to 64 bytes; the first one seals.
 
     Raises
     ------
     SealError
-        If there is no key or one has a wrong length.
+        If there is no key or a key has a wrong length.
     """
 
     def __init__(self, keys: list[bytes]):
@@ -36,12 +36,12 @@
         self.keys = tuple(keys)
 
     def seal(self, kind: bytes, body: bytes) -> bytes:
-        """Append a code to a value.
+        """Append an authentication code to a value.
 
         Parameters
         ----------
         kind : bytes
-            What the value is, so that one kind is never taken for another.
+            Kind of the value; a seal is valid for one kind only.
         body : bytes
             The value.
 
@@ -50,17 +50,17 @@
         bytes
             The value followed by its code.
         """
-        return body + _code(self.keys[0], kind, body, SEAL_BYTES)
+        return body + _authentication_code(self.keys[0], kind, body, SEAL_BYTES)
 
     def open(self, kind: bytes, sealed: bytes) -> bytes:
-        """Check a sealed value.
+        """Verify a sealed value and return it without its code.
 
         Parameters
         ----------
         kind : bytes
-            As given to `seal`.
+            Kind that was passed to `seal`.
         sealed : bytes
-            What `seal` returned.
+            The sealed value.
 
         Returns
         -------
@@ -70,37 +70,39 @@
         Raises
         ------
         SealError
-            If no key of ours sealed it.
+            If none of the keys sealed the value.
         """
         body, code = sealed[:-SEAL_BYTES], sealed[-SEAL_BYTES:]
         for key in self.keys:
-            expected = _code(key, kind, body, SEAL_BYTES)
+            expected = _authentication_code(key, kind, body, SEAL_BYTES)
             if hmac.compare_digest(code, expected):
                 return body
-        raise SealError(f"not sealed by us: {kind.decode()}")
+        raise SealError(f"not sealed with a known key: {kind.decode()}")
 
 
-def _code(key: bytes, kind: bytes, body: bytes, size_bytes: int) -> bytes:
+def _authentication_code(
+    key: bytes, kind: bytes, body: bytes, size_bytes: int
+) -> bytes:
     return blake2b(body, digest_size=size_bytes, key=key, person=kind).digest()
 
 
 def load_sealer(path: str) -> Sealer:
-    """Read the seal keys of a file, one in hexadecimal on each line.
+    """Read seal keys from a file with one hexadecimal key on each line.
 
     Parameters
     ----------
     path : str
-        The file; its first key seals.
+        Path of the file; its first key seals.
 
     Returns
     -------
     Sealer
-        A sealer over the file's keys.
+        A sealer with the keys of the file.
 
     Raises
     ------
     SealError
-        If the file can't be read or holds no usable key.
+        If the file can't be read, or holds no key or an invalid one.
     """
     try:
         lines = Path(path).read_text(encoding="ascii").split()
@@ -111,7 +113,7 @@
 
 
 def sign(key: bytes, body: bytes) -> bytes:
-    """Sign a backend server's announcement.
+    """Return the authentication code of a backend server's announcement.
 
     Parameters
     ----------
@@ -123,20 +125,20 @@
     Returns
     -------
     bytes
-        16 bytes of keyed BLAKE2b.
+        The code, of 16 bytes.
     """
-    return _code(key, b"announce", body, _SIGNATURE_BYTES)
+    return _authentication_code(key, b"announce", body, _SIGNATURE_BYTES)
 
 
 def verify_signature(key: bytes, body: bytes, code: bytes) -> None:
-    """Check an announcement's code.
+    """Verify the authentication code of an announcement.
 
     Parameters
     ----------
     key, body : bytes
-        As for `sign`.
+        Key and announcement, as for `sign`.
     code : bytes
-        The code found.
+        The code to verify.
 
     Raises
     ------
