--- a/src/agatethread/settings/_checking.py
+++ b/src/agatethread/settings/_checking.py
@@ -205,7 +205,7 @@
     source: str,
     text: str,
     data_class: type,
-    group: type[ExceptionGroup],
+    error_group: type[ExceptionGroup],
     is_plain_json: bool = False,
     ignore_unknown: bool = False,
 ) -> Any:
@@ -220,7 +220,7 @@
     data_class : type
         Frozen data class; its fields' metadata may hold ``minimum``, ``maximum``,
         ``choices`` and ``address``.
-    group : type
+    error_group : type
         Exception group to raise with the faults.
     is_plain_json : bool, default=False
         Whether comments are faults.
@@ -235,16 +235,16 @@
     Raises
     ------
     ExceptionGroup
-        `group`, with a `FieldError` for each fault.
+        `error_group`, with a `FieldError` for each fault.
     """
     try:
         raw = _load(text, is_plain_json)
     except (ValueError, RecursionError) as error:
         fault = FieldError(source, "(whole text)", str(error), "JSON with comments")
-        raise group(f"{source} can't be read", [fault]) from None
+        raise error_group(f"{source} can't be read", [fault]) from None
     if not isinstance(raw, dict):
         fault = FieldError(source, "(whole text)", type(raw).__name__, "an object")
-        raise group(f"{source} can't be read", [fault])
+        raise error_group(f"{source} can't be read", [fault])
 
     faults = list(_check_ranges(source, "", data_class, raw))
     try:
@@ -253,5 +253,5 @@
     except ClassValidationError as error:
         faults += _structuring_faults(source, "", error, raw)
     if faults:
-        raise group(f"{source} has faults", faults)
+        raise error_group(f"{source} has faults", faults)
     return data
