--- a/src/agatethread/registry/_deltas.py
+++ b/src/agatethread/registry/_deltas.py
@@ -1,4 +1,4 @@
-"""Writes what changed at a control instance as messages."""
+"""Builds the messages that carry run changes from a control instance."""
 
 from collections.abc import Callable
 
@@ -6,26 +6,25 @@
 from agatethread.registry._runs import RunTable
 from agatethread.wire.registry_pb2 import BackendRun, Delta, RegistryMessage
 
-#: Messages sent to one subscriber at a time, so that a full table does not fill the
-#: queue of a slow link (8 kB of 2 Mbit/s are 36 ms).
-_WINDOW_COUNT = 8
-#: A report told by its number: the number, and a sequence of a few bytes.
-_NUMBER_BYTES = 12
+#: Messages sent to one subscriber at a time; limits the queue on a slow link.
+_WINDOW_MESSAGE_COUNT = 8
+#: Estimated size of a report sent as run number and sequence.
+_NUMBERED_REPORT_BYTES = 12
 
 
 class DeltaWriter:
-    """Writes changes after an index.
+    """Builds messages with the run changes after an index.
 
     Parameters
     ----------
     runs : RunTable
         The backend servers.
     incarnation : int
-        Of the control instance's present run.
+        Incarnation of the control instance.
     failure_domain : str
-        Of the control instance.
+        Failure domain of the control instance.
     is_settled : callable
-        Tells whether it knows every backend server that reports.
+        Returns whether the control instance knows every reporting backend server.
     """
 
     def __init__(
@@ -40,78 +39,86 @@
         self._failure_domain = failure_domain
         self._is_settled = is_settled
 
-    def write_after(
-        self, after: int, with_reports: bool, by_number: bool = False
+    def make_messages_after(
+        self, after_index: int, with_reports: bool, by_number: bool = False
     ) -> list[RegistryMessage]:
-        """Write the changes after an index, as many as are sent at a time.
+        """Return messages with the changes after an index, at most one window.
 
-        The load that this answers: 1,000 backend servers report 833 times a second to
-        one of several control instances each, and all the others have to know that they
-        do. Told by number, such a report takes 11 bytes and not a hundred.
+        Handles a steady stream of unchanged reports between control instances: an
+        unchanged report is sent as its run number and sequence only.
 
         Parameters
         ----------
-        after : int
-            What the receiver has.
+        after_index : int
+            Index after which changes are sent.
         with_reports : bool
-            Whether runs that only went on reporting are told of, too.
+            Whether to include runs that reported without a change.
         by_number : bool, optional
-            Whether the receiver understands these told by number.
+            Whether the receiver accepts reports sent by run number.
 
         Returns
         -------
         list of RegistryMessage
-            Empty if there are none.
+            Empty if there are no changes.
         """
-        newest = self._runs.index if with_reports else self._runs.changed_index
-        if after >= newest:
+        newest_index = self._runs.index if with_reports else self._runs.changed_index
+        if after_index >= newest_index:
             return []
-        first, size, last = after, 0, after
-        message = self.write(after, after)
+        start_index, size, last_index = after_index, 0, after_index
+        message = self.make_empty_message(after_index, after_index)
         messages: list[RegistryMessage] = []
-        for index, run in self._runs.changes_after(after, with_reports):
-            is_short = by_number and self._runs.is_told_by_number(run.id, first)
-            run_bytes = _NUMBER_BYTES if is_short else run.ByteSize() + 3
+        for index, run in self._runs.changes_after(after_index, with_reports):
+            is_numbered = by_number and self._runs.can_send_by_number(
+                run.id, start_index
+            )
+            run_bytes = _NUMBERED_REPORT_BYTES if is_numbered else run.ByteSize() + 3
             if size and size + run_bytes > MESSAGE_BYTES:
-                message.delta.through_index = last
+                message.delta.through_index = last_index
                 messages.append(message)
-                if len(messages) == _WINDOW_COUNT:
+                if len(messages) == _WINDOW_MESSAGE_COUNT:
                     return messages
-                message, size = self.write(last, last), 0
+                message, size = (
+                    self.make_empty_message(last_index, last_index),
+                    0,
+                )
             size += run_bytes
-            _add(message.delta, run, is_short)
-            last = index
+            _add(message.delta, run, is_numbered)
+            last_index = index
         if size:
-            message.delta.through_index = last
+            message.delta.through_index = last_index
             message.delta.complete = True
             messages.append(message)
         return messages
 
-    def write(self, after: int, through: int) -> RegistryMessage:
-        """Write a message that tells of no run.
+    def make_empty_message(
+        self, after_index: int, through_index: int
+    ) -> RegistryMessage:
+        """Return a delta message without runs.
 
         Parameters
         ----------
-        after, through : int
-            Indexes before the first and of the last change that it is to hold.
+        after_index : int
+            Index before the first change of the message.
+        through_index : int
+            Index of the last change of the message.
 
         Returns
         -------
         RegistryMessage
-            Not marked as the last one.
+            Its `complete` field is not set.
         """
         delta = Delta(
             hub_incarnation=self._incarnation,
-            after_index=after,
-            through_index=through,
+            after_index=after_index,
+            through_index=through_index,
             settled=self._is_settled(),
             failure_domain=self._failure_domain,
         )
         return RegistryMessage(delta=delta)
 
 
-def _add(delta: Delta, run: BackendRun, is_short: bool) -> None:
-    if is_short:
+def _add(delta: Delta, run: BackendRun, is_numbered: bool) -> None:
+    if is_numbered:
         delta.reporting.append(run.number)
         delta.sequences.append(run.sequence)
     else:
--- a/src/agatethread/registry/_entries.py
+++ b/src/agatethread/registry/_entries.py
@@ -1,4 +1,4 @@
-"""What a control instance keeps of each run, found by id, address and number."""
+"""Stores the runs of a control instance, indexed by id, address and number."""
 
 from collections.abc import Iterator
 from itertools import islice
@@ -7,17 +7,17 @@
 from agatethread.registry._report import START_NOT_TOLD, Report
 from agatethread.wire.registry_pb2 import BackendRun
 
-#: Reports of a run of which one is told whole.
-_WHOLE_EACH = 8
+#: One of this many reports of a run is sent in full.
+_FULL_REPORT_INTERVAL = 8
 
 
 class RunEntry:
-    """A run, and when it was heard of.
+    """A run with the time of its last report and the indexes of its changes.
 
     Parameters
     ----------
     run : BackendRun
-        What is known of it.
+        State of the run.
     """
 
     __slots__ = ("changed_index", "details_index", "direct_index", "heard_s", "run")
@@ -25,28 +25,27 @@
     def __init__(self, run: BackendRun):
         self.run = run
         self.heard_s = 0.0
-        #: Index of the last change that entry instances must know.
+        #: Index of the last change that is sent to entry instances.
         self.changed_index = 0
-        #: Index of the last report that came directly from the run.
+        #: Index of the last report received directly from the run.
         self.direct_index = 0
-        #: Index of the last report that told more than that the run goes on.
+        #: Index of the last report that changed details of the run.
         self.details_index = 0
 
 
 class RunIndex:
-    """The newest run of each id, and the order in which runs changed."""
+    """Stores the newest run of each id, and the order in which runs changed."""
 
     def __init__(self) -> None:
         self._by_id: dict[str, RunEntry] = {}
-        #: By id, the one that changed last comes last, so that listing what is new does
-        #: not look at all: with 3,000 runs and 297 subscribers telling one change took
-        #: 33 ms of processor time, and 0.7 ms since, without the system calls.
+        #: By id, in order of change. Handles many runs and subscribers: listing recent
+        #: changes does not scan all runs.
         self._by_change: dict[str, RunEntry] = {}
-        #: The same, with runs that only reported to this instance again.
+        #: By id, in order of change or direct report.
         self._by_report: dict[str, RunEntry] = {}
         self._by_number: dict[int, RunEntry] = {}
-        #: Those that told when they started, by id.
-        self._tellers: dict[str, RunEntry] = {}
+        #: Runs that reported their start time, by id.
+        self._with_start_time: dict[str, RunEntry] = {}
         self._holders: dict[bytes, RunEntry] = {}
 
     def __len__(self) -> int:
@@ -55,71 +54,71 @@
     def __iter__(self) -> Iterator[RunEntry]:
         return iter(list(self._by_id.values()))
 
-    def find(self, run_id: str) -> RunEntry | None:
-        """Find the newest run of an id."""
+    def get(self, run_id: str) -> RunEntry | None:
+        """Return the newest run of an id."""
         return self._by_id.get(run_id)
 
-    def find_holder(self, address: bytes, except_id: str) -> RunEntry | None:
-        """Find the run of another id that has not ended and holds an address."""
+    def get_address_holder(self, address: bytes, except_id: str) -> RunEntry | None:
+        """Return the run of another id that has not ended and holds an address."""
         holder = self._holders.get(address)
         return None if holder is None or holder.run.id == except_id else holder
 
-    def find_namesake(self, number: int, except_id: str) -> RunEntry | None:
-        """Find the run of another id that datagrams name by the same number."""
-        namesake = self._by_number.get(number)
-        is_none = namesake is None or namesake.run.id == except_id
-        return None if is_none else namesake
+    def get_number_holder(self, number: int, except_id: str) -> RunEntry | None:
+        """Return the run of another id that has the same run number."""
+        holder = self._by_number.get(number)
+        is_available = holder is None or holder.run.id == except_id
+        return None if is_available else holder
 
-    def find_numbered(self, number: int) -> RunEntry | None:
-        """Find the run that datagrams name by a number."""
+    def get_by_number(self, number: int) -> RunEntry | None:
+        """Return the run with a run number."""
         return self._by_number.get(number)
 
-    def most_tell_starts(self) -> bool:
-        """Tell whether most live runs have told when they started.
+    def most_have_start(self) -> bool:
+        """Return whether most live runs have reported their start time.
 
-        Looks at no more runs that did not tell than there are ones that did: where
-        none tells, every report asks.
+        Stops counting runs without a start time once they are no fewer than those with
+        one, since this is called for every report without a start time.
         """
-        told_count = sum(is_live(entry.run) for entry in self._tellers.values())
-        untold = (
+        with_count = sum(is_live(entry.run) for entry in self._with_start_time.values())
+        without = (
             entry
             for entry in self._by_id.values()
             if entry.run.started_ms == START_NOT_TOLD and is_live(entry.run)
         )
-        return sum(1 for _ in islice(untold, told_count)) < told_count
+        return sum(1 for _ in islice(without, with_count)) < with_count
 
     def add(self, run: BackendRun) -> RunEntry:
-        """Keep a run in place of an earlier one of its id."""
+        """Store a run; replaces an earlier run of the same id."""
         self._by_change.pop(run.id, None)
         self._by_report.pop(run.id, None)
         entry = self._by_id[run.id] = RunEntry(run)
-        self._tellers.pop(run.id, None)
+        self._with_start_time.pop(run.id, None)
         if run.started_ms != START_NOT_TOLD:
-            self._tellers[run.id] = entry
+            self._with_start_time[run.id] = entry
         if run.number:
             self._by_number[run.number] = entry
         if run.address and not run.ended:
             self._holders[run.address] = entry
         return entry
 
-    def free_address(self, entry: RunEntry) -> None:
-        """Let another run have the address of one that has ended."""
+    def release_address(self, entry: RunEntry) -> None:
+        """Release the address of a run that has ended."""
         if self._holders.get(entry.run.address) is entry:
             del self._holders[entry.run.address]
 
-    def note_change(self, entry: RunEntry, index: int) -> None:
-        """Note that entry instances must know a run's present state."""
+    def mark_changed(self, entry: RunEntry, index: int) -> None:
+        """Mark a run as changed for all subscribers."""
         entry.changed_index = index
         _move_to_end(self._by_change, entry)
         _move_to_end(self._by_report, entry)
 
-    def note_report(self, entry: RunEntry, index: int) -> None:
-        """Note that a run has reported to this instance."""
+    def mark_reported(self, entry: RunEntry, index: int) -> None:
+        """Mark a run as having reported directly to this instance."""
         entry.direct_index = index
         _move_to_end(self._by_report, entry)
 
     def changed_after(self, index: int, with_reports: bool) -> list[RunEntry]:
-        """List the runs that changed after an index, oldest first."""
+        """Return the runs that changed after an index, oldest change first."""
         order = self._by_report if with_reports else self._by_change
         newer = []
         for entry in reversed(order.values()):
@@ -129,13 +128,13 @@
         newer.reverse()
         return newer
 
-    def forget(self, entry: RunEntry) -> None:
-        """Drop a run that ended long ago."""
+    def remove(self, entry: RunEntry) -> None:
+        """Delete a run whose retention time has passed."""
         run_id = entry.run.id
         del self._by_id[run_id]
         self._by_change.pop(run_id, None)
         self._by_report.pop(run_id, None)
-        self._tellers.pop(run_id, None)
+        self._with_start_time.pop(run_id, None)
         if self._by_number.get(entry.run.number) is entry:
             del self._by_number[entry.run.number]
 
@@ -146,53 +145,56 @@
 
 
 def last_index(entry: RunEntry, with_reports: bool) -> int:
-    """Find the index of a run's last change, or report if these count."""
+    """Return the index of the last change, or of the last report if included."""
     if with_reports:
         return max(entry.changed_index, entry.direct_index)
     return entry.changed_index
 
 
-def is_told_by_number(entry: RunEntry, after: int) -> bool:
-    """Tell whether a run's report may be told by its number.
+def can_send_by_number(entry: RunEntry, after_index: int) -> bool:
+    """Return whether a report may be sent by run number.
 
-    Each eighth is told whole: a receiver that could not take the run then may by now.
+    Some reports are sent in full all the same, so that a receiver that had to reject
+    the run can accept it later.
 
     Parameters
     ----------
     entry : RunEntry
-        One that reported after the index.
-    after : int
-        What the receiver has.
+        Run that reported after the index.
+    after_index : int
+        Index after which changes are sent to the receiver.
 
     Returns
     -------
     bool
-        Whether the receiver was told all of it before.
+        Whether the receiver already has the state of the run.
     """
     run = entry.run
-    if not (run.number and run.started_ms) or run.sequence % _WHOLE_EACH == 0:
+    if not (run.number and run.started_ms) or run.sequence % _FULL_REPORT_INTERVAL == 0:
         return False
-    return max(entry.changed_index, entry.details_index) <= after
+    return max(entry.changed_index, entry.details_index) <= after_index
 
 
-def take_number(entry: RunEntry, sequence: int, started_ms: int, now_s: float) -> bool:
-    """Take a report that was told by its number.
+def apply_numbered_report(
+    entry: RunEntry, sequence: int, started_ms: int, now_s: float
+) -> bool:
+    """Apply a report that was sent by run number.
 
     Parameters
     ----------
     entry : RunEntry
-        What is known of the run.
+        Stored run; updated in place.
     sequence : int
-        Of the report.
+        Sequence of the report.
     started_ms : int
-        Start of the run as the sender told it whole.
+        Start time of the run in the sender's last full report.
     now_s : float
-        Present time.
+        Current time.
 
     Returns
     -------
     bool
-        False if it is not about this run, or older than what is known.
+        False if the report belongs to another start or is not newer.
     """
     run = entry.run
     is_old = run.ended or sequence <= run.sequence
@@ -203,18 +205,18 @@
     return True
 
 
-def report_of(run: BackendRun) -> Report:
-    """Write what another control instance knows of a run as the run's report.
+def to_report(run: BackendRun) -> Report:
+    """Convert a run received from another control instance to a report.
 
     Parameters
     ----------
     run : BackendRun
-        The run.
+        Run as the other instance sent it.
 
     Returns
     -------
     Report
-        The newest report that the other instance has of it.
+        Newest report of the run at the other instance.
     """
     return Report(
         id=run.id,
@@ -230,18 +232,18 @@
     )
 
 
-def run_of(report: Report) -> BackendRun:
-    """Make a run from what can't change while it lives.
+def to_run(report: Report) -> BackendRun:
+    """Create a run from the constant fields of a report.
 
     Parameters
     ----------
     report : Report
-        Its first report.
+        First report of the run.
 
     Returns
     -------
     BackendRun
-        The run, not yet refreshed by the report.
+        Run without the changing fields of the report.
     """
     return BackendRun(
         id=report.id,
@@ -254,19 +256,19 @@
 
 
 def describe(entry: RunEntry, now_s: float) -> dict[str, object]:
-    """Write a run for a state dump.
+    """Return a run for a state dump.
 
     Parameters
     ----------
     entry : RunEntry
-        The run.
+        Stored run.
     now_s : float
-        Present time.
+        Current time.
 
     Returns
     -------
     dict
-        Ready for JSON.
+        JSON-compatible fields.
     """
     run = entry.run
     return {
--- a/src/agatethread/registry/_following.py
+++ b/src/agatethread/registry/_following.py
@@ -1,9 +1,9 @@
-"""Which control instances an entry instance follows, and what for.
+"""Selects the control instances that an entry instance follows.
 
-It follows two of its own failure domain where these are enough, see `_home`. Else it
-follows three, one of its own failure domain and two of others, so that neither the
-death of one nor a cut keeps a drain from it. Those that hear a leader go first among
-the others: only they learn of a new routing table.
+Two of the own failure domain where these suffice, see `_home`; else one of the own
+failure domain and two of others, so that updates survive the loss of an instance or a
+network partition. Instances with a leader are preferred: only they receive new routing
+tables.
 """
 
 from collections.abc import Iterable, Sequence
@@ -11,92 +11,93 @@
 from agatethread.registry._link import HubLink
 from agatethread.registry._presence import NO_RANK, EntryRank
 
-#: One that was asked for all it knows so lately may still answer: a poll.
-_ANSWER_S = 0.4
-#: One that has not answered for so long may be out of reach: many round trips.
-_SILENT_S = 0.3
-#: Control instances that an entry instance follows: the loss of two is borne.
+#: Time within which a polled control instance may still answer.
+_POLL_REPLY_TIMEOUT_S = 0.4
+#: Time without an answer after which a control instance counts as unreachable.
+_UNREACHABLE_TIMEOUT_S = 0.3
+#: Control instances that an entry instance follows; tolerates the loss of two.
 FOLLOWED_COUNT = 3
 
 
 def choose_followed(
     live: Sequence[HubLink], failure_domain: str, others_count: int = FOLLOWED_COUNT - 1
 ) -> list[HubLink]:
-    """Choose the control instances to follow.
+    """Return the control instances to follow.
 
     Parameters
     ----------
     live : sequence of HubLink
-        Those that answered lately.
+        Reachable control instances.
     failure_domain : str
-        Of the entry instance.
+        Failure domain of the entry instance.
     others_count : int, optional
-        How many to follow besides the first.
+        Number of instances to follow besides the first.
 
     Returns
     -------
     list of HubLink
-        The first is of its own failure domain, if one is there.
+        The first is of the own failure domain, if one is reachable.
     """
 
-    # When one was heard last is no criterion, or links would change at each poll.
+    # Does not sort by the time of the last answer, which changes at each poll.
     def rank(link: HubLink) -> tuple[bool, bool, bytes]:
-        is_away = link.failure_domain != failure_domain
-        return (is_away, not link.complete, link.address)
+        is_other_domain = link.failure_domain != failure_domain
+        return (is_other_domain, not link.complete, link.address)
 
     ranked = sorted(live, key=rank)
     first = ranked[:1]
-    domains = {link.failure_domain for link in first}
-    others = [link for link in ranked[1:] if link.failure_domain not in domains]
-    # What one that the first does not hear takes would come through nobody else.
-    heard = {address for link in first for address in link.controls}
+    first_domains = {link.failure_domain for link in first}
+    others = [link for link in ranked[1:] if link.failure_domain not in first_domains]
+    # Prefers instances that the first one does not reach: it can't relay their changes.
+    reachable = {address for link in first for address in link.controls}
     others = sorted(
         others or ranked[1:],
-        key=lambda link: (not link.hears_leader, bool(heard) and link.address in heard),
+        key=lambda link: (
+            not link.hears_leader,
+            bool(reachable) and link.address in reachable,
+        ),
     )
     return first + others[:others_count]
 
 
-def is_enough(followed: Sequence[HubLink], count: int = FOLLOWED_COUNT) -> bool:
-    """Tell whether no other control instance has to be looked for.
+def follows_enough(followed: Sequence[HubLink], count: int = FOLLOWED_COUNT) -> bool:
+    """Return whether enough control instances are followed.
 
     Parameters
     ----------
     followed : sequence of HubLink
-        Those that are followed.
+        Followed control instances.
     count : int, optional
-        How many are to be.
+        Number of control instances to follow.
 
     Returns
     -------
     bool
-        False also without a leader in sight: another one may hear one.
+        False also if none of them hears a leader: another one may.
     """
     has_leader = any(link.hears_leader for link in followed)
     return has_leader and len(followed) >= count
 
 
-def choose_routes_teller(
+def choose_routes_source(
     followed: Sequence[HubLink], routes_version: int
 ) -> HubLink | None:
-    """Choose who tells of routing tables, so that each comes once.
+    """Return the control instance that sends routing tables.
 
-    With three that told, a change of 240 routes every 0.17 s took a tenth of a link of
-    2 Mbit/s, and one of 1,600 routes two thirds. One that does not hear a leader learns
-    of no table; if one that does is late, all are asked: what they told at the poll
-    before is known by now if nothing is wrong.
+    Handles frequent changes of large tables: each table is sent by one instance. The
+    instance must hear a leader to receive new tables; if it is late, all are asked.
 
     Parameters
     ----------
     followed : sequence of HubLink
-        Those that are followed.
+        Followed control instances.
     routes_version : int
-        Of the table that is known.
+        Version of the current table.
 
     Returns
     -------
     HubLink or None
-        None if all are to tell.
+        None if all are asked for tables.
     """
     if any(link.routes_version > routes_version for link in followed):
         return None
@@ -106,29 +107,29 @@
 def is_cut_off(
     links: Iterable[HubLink], live: Sequence[HubLink], failure_domain: str
 ) -> bool:
-    """Tell whether the own failure domain is cut off from all others.
+    """Return whether the own failure domain is cut off from all others.
 
-    An instance that hears a control instance of another domain, or one that hears a
-    leader, can still be told of orders, and has to obey those that it knows.
+    An instance that reaches a control instance of another failure domain, or one with
+    a leader, can still receive evacuations and has to obey the current ones.
 
     Parameters
     ----------
     links : iterable of HubLink
         All known control instances.
     live : sequence of HubLink
-        Those that answered lately.
+        Reachable control instances.
     failure_domain : str
-        Of this instance.
+        Failure domain of this instance.
 
     Returns
     -------
     bool
-        Whether it hears control instances of its own domain only, and these are fewer
-        than half of all and hear no leader.
+        Whether only control instances of the own failure domain are reachable, and
+        these are fewer than half of all and hear no leader.
     """
-    known = list(links)
-    at_home = [link for link in known if link.failure_domain == failure_domain]
-    if len(known) <= 2 * len(at_home):
+    all_links = list(links)
+    own_domain = [link for link in all_links if link.failure_domain == failure_domain]
+    if len(all_links) <= 2 * len(own_domain):
         return False
     return bool(live) and all(
         link.failure_domain == failure_domain and not link.hears_leader for link in live
@@ -136,45 +137,49 @@
 
 
 def are_silent(links: Iterable[HubLink], failure_domain: str, now_s: float) -> bool:
-    """Tell whether no control instance of another failure domain answers.
+    """Return whether no control instance of another failure domain answers.
 
-    One that was not asked lately says nothing, and is not cut off by that; and the one
-    that was asked last may be gone by itself. When a second one is asked, several are.
+    Counts only instances with an unanswered request. Requires two of them, since a
+    single one may have failed by itself.
 
     Parameters
     ----------
     links : iterable of HubLink
         All known control instances.
     failure_domain : str
-        Of this instance.
+        Failure domain of this instance.
     now_s : float
-        Present time.
+        Current time.
 
     Returns
     -------
     bool
-        Whether two of them, or the only one, were asked in vain for many round trips.
+        Whether two of them, or the only one, are unreachable.
     """
     others = [link for link in links if link.failure_domain not in ("", failure_domain)]
-    silent = [link for link in others if now_s - link.unanswered_s >= _SILENT_S]
-    return len(silent) >= min(2, len(others))
+    unreachable = [
+        link
+        for link in others
+        if now_s - link.unanswered_since_s >= _UNREACHABLE_TIMEOUT_S
+    ]
+    return len(unreachable) >= min(2, len(others))
 
 
 def widest_rank(live: Iterable[HubLink], failure_domain: str = "") -> EntryRank:
-    """Find an entry instance's rank among all.
+    """Return the rank of an entry instance among all entry instances.
 
     Parameters
     ----------
     live : iterable of HubLink
-        The control instances that answered lately.
+        Reachable control instances.
     failure_domain : str, optional
-        Of the entry instance.
+        Failure domain of the entry instance.
 
     Returns
     -------
     EntryRank
-        As the one says that knows of the most; of several one at home, which hears all
-        entry instances there. `NO_RANK` if none does.
+        Rank from the control instance that counts the most entry instances; among
+        equals one of the own failure domain. `NO_RANK` if there is none.
     """
     widest = max(
         live,
@@ -184,56 +189,56 @@
     return widest.rank if widest else NO_RANK
 
 
-def knows_more(link: HubLink, others: Sequence[HubLink]) -> bool:
-    """Tell whether a control instance knows what none of some others can.
+def has_additional_state(link: HubLink, others: Sequence[HubLink]) -> bool:
+    """Return whether a control instance has state that none of the others has.
 
     Parameters
     ----------
     link : HubLink
-        The control instance.
+        Control instance to compare.
     others : sequence of HubLink
-        The others.
+        Other control instances.
 
     Returns
     -------
     bool
-        Whether it alone knows every backend server, or every routing table.
+        Whether it alone knows every backend server, or receives every routing table.
     """
-    has_runs = link.settled and not any(one.settled for one in others)
-    has_routes = link.hears_leader and not any(one.hears_leader for one in others)
+    has_runs = link.settled and not any(other.settled for other in others)
+    has_routes = link.hears_leader and not any(other.hears_leader for other in others)
     return has_runs or has_routes
 
 
-def needs_asking(
+def needs_full_poll(
     link: HubLink, live: Iterable[HubLink], now_s: float, routes_version: int
 ) -> bool:
-    """Tell whether one that has just said that it is there is asked for all it knows.
+    """Return whether to request the full state of a control instance that answered.
 
     Parameters
     ----------
     link : HubLink
-        The control instance.
+        Control instance that answered a probe or sent a greeting.
     live : iterable of HubLink
-        Those that answered lately.
+        Reachable control instances.
     now_s : float
-        Present time.
+        Current time.
     routes_version : int
-        Of the table that is known; 0 if there is none, and nothing can be served.
+        Version of the current table; 0 if there is none and no flow can be served.
 
     Returns
     -------
     bool
-        False if one as good tells already.
+        False if an equivalent instance already sends its state.
     """
-    oldest_s = now_s - _ANSWER_S
-    telling = [
-        one
-        for one in live
-        if one.complete
-        or one.polled_s > oldest_s
-        or (one.seen_index > 0 and not one.is_left)
+    oldest_s = now_s - _POLL_REPLY_TIMEOUT_S
+    sending = [
+        other
+        for other in live
+        if other.complete
+        or other.polled_s > oldest_s
+        or (other.seen_index > 0 and not other.is_unfollowed)
     ]
-    has_first_table = link.routes_version > 0 and not routes_version
-    if has_first_table and not any(one.routes_version for one in telling):
+    offers_first_table = link.routes_version > 0 and not routes_version
+    if offers_first_table and not any(other.routes_version for other in sending):
         return True
-    return not telling or knows_more(link, telling)
+    return not sending or has_additional_state(link, sending)
--- a/src/agatethread/registry/_home.py
+++ b/src/agatethread/registry/_home.py
@@ -1,12 +1,9 @@
-"""When an entry instance follows the control instances of its own failure domain only.
+"""Decides when following control instances of the own failure domain suffices.
 
-The load that this answers: 100 entry instances and more in a few failure domains with
-two control instances each. Each change, and each answer to a poll, would cross between
-failure domains twice for each entry instance; told at home it crosses once for each
-control instance.
-
-Those at home are enough while two of them know all that can be known: they hear a
-leader, have told every backend server, and hear each control instance that others do.
+Handles many entry instances in few failure domains: traffic between failure domains
+grows with the number of control instances, not of entry instances. The own failure
+domain suffices while two of its control instances hear a leader, have sent every
+backend server, and reach each control instance that others reach.
 """
 
 from collections import Counter
@@ -16,134 +13,139 @@
 from agatethread.registry._following import FOLLOWED_COUNT
 from agatethread.registry._link import HubLink
 
-#: Control instances at home that are enough: the loss of one is borne without a gap.
-HOME_COUNT = 2
-#: How long others may hear a control instance that those at home don't: they hear of a
-#: start or an end up to a poll and a lease apart.
-_DISAGREE_S = 0.6
-#: How long those at home have to be enough again before the others are left: leaving
-#: and following again costs all that changed meanwhile.
-_REGAINED_S = 2.0
-#: Time in which those at home tell all they know after a start or when all were out of
-#: sight: the others would tell it the same once more.
-_FIRST_TELLING_S = 1.0
+#: Control instances of the own failure domain that suffice; tolerates loss of one.
+OWN_DOMAIN_COUNT = 2
+#: Time for which others may reach a control instance that the own failure domain does
+#: not: a start or an end is detected up to a poll and a lease apart.
+_VIEW_DIFFERENCE_TIMEOUT_S = 0.6
+#: Time for which the own failure domain has to suffice again before the others are
+#: unfollowed; following them again transfers all changes since.
+_RECOVERY_DELAY_S = 2.0
+#: Time for the own failure domain to send its state after a start or after all were
+#: unreachable, before others are asked for the same state.
+_INITIAL_SYNC_TIMEOUT_S = 1.0
 
 log = make_logger("registry")
 
 
-def choose_home(
+def choose_own_domain(
     live: Iterable[HubLink], failure_domain: str, may_be_incomplete: bool = False
 ) -> list[HubLink]:
-    """Choose the control instances of the own failure domain that are enough.
+    """Return the control instances of the own failure domain to follow alone.
 
     Parameters
     ----------
     live : iterable of HubLink
-        Those that answered lately.
+        Reachable control instances.
     failure_domain : str
-        Of the entry instance.
+        Failure domain of the entry instance.
     may_be_incomplete : bool, optional
-        Whether one may still be telling what it knows.
+        Whether to accept instances that are still sending their state.
 
     Returns
     -------
     list of HubLink
-        `HOME_COUNT` of them, the same ones at all entry instances; empty if there are
-        fewer that hear a leader, know every backend server and have told them.
+        `OWN_DOMAIN_COUNT` of them, the same ones at all entry instances; empty if
+        fewer hear a leader, know every backend server and have sent them.
     """
-    home = [
+    own_domain = [
         link
         for link in live
-        if link.failure_domain == failure_domain and _is_whole(link, may_be_incomplete)
+        if link.failure_domain == failure_domain
+        and _has_full_state(link, may_be_incomplete)
     ]
-    home.sort(key=lambda link: link.address)
-    return home[:HOME_COUNT] if len(home) >= HOME_COUNT else []
+    own_domain.sort(key=lambda link: link.address)
+    return own_domain[:OWN_DOMAIN_COUNT] if len(own_domain) >= OWN_DOMAIN_COUNT else []
 
 
-def _is_whole(link: HubLink, may_be_incomplete: bool = False) -> bool:
-    """Tell whether a control instance knows all, and has told it or still does."""
-    has_told = link.complete or may_be_incomplete
-    return link.hears_leader and link.settled and has_told
+def _has_full_state(link: HubLink, may_be_incomplete: bool = False) -> bool:
+    """Return whether a control instance has the full state and has sent it."""
+    is_synchronized = link.complete or may_be_incomplete
+    return link.hears_leader and link.settled and is_synchronized
 
 
-def count_others(
+def count_other_instances(
     links: Iterable[HubLink], live: Iterable[HubLink], failure_domain: str
 ) -> int:
-    """Count the control instances of other failure domains to follow.
+    """Return the number of control instances of other failure domains to follow.
 
     Parameters
     ----------
     links : iterable of HubLink
         All known control instances.
     live : iterable of HubLink
-        Those that answered lately.
+        Reachable control instances.
     failure_domain : str
-        Of the entry instance.
+        Failure domain of the entry instance.
 
     Returns
     -------
     int
-        One where several are at home, and one of them knows all or two answer: those
-        at home and that one bear a loss. Else as many as make up the usual number.
+        One if the own failure domain has several, and one of them has the full state
+        or two are reachable; else `FOLLOWED_COUNT` less one.
     """
     known_domains = [link.failure_domain for link in links]
-    at_home = [link for link in live if link.failure_domain == failure_domain]
-    has_several = known_domains.count(failure_domain) >= HOME_COUNT
+    own_domain = [link for link in live if link.failure_domain == failure_domain]
+    has_several = known_domains.count(failure_domain) >= OWN_DOMAIN_COUNT
     has_others = any(domain != failure_domain for domain in known_domains)
-    is_told = len(at_home) >= HOME_COUNT or any(map(_is_whole, at_home))
-    return 1 if has_several and has_others and is_told else FOLLOWED_COUNT - 1
+    is_covered = len(own_domain) >= OWN_DOMAIN_COUNT or any(
+        map(_has_full_state, own_domain)
+    )
+    return 1 if has_several and has_others and is_covered else FOLLOWED_COUNT - 1
 
 
-def find_unheard(home: Sequence[HubLink], live: Iterable[HubLink]) -> set[bytes]:
-    """Find the control instances that others hear, and those at home don't.
+def find_unreachable_controls(
+    own_domain: Sequence[HubLink], live: Iterable[HubLink]
+) -> set[bytes]:
+    """Return the control instances that only other failure domains reach.
 
-    What such a one takes and tells would not come through those at home.
+    The own failure domain would not relay the changes of such an instance.
 
     Parameters
     ----------
-    home : sequence of HubLink
-        Those at home.
+    own_domain : sequence of HubLink
+        Control instances of the own failure domain.
     live : iterable of HubLink
-        All that answered lately.
+        All reachable control instances.
 
     Returns
     -------
     set of bytes
-        Their packed addresses.
+        Packed addresses.
     """
-    heard: set[bytes] = set()
+    reachable: set[bytes] = set()
     for link in live:
-        heard.add(link.address)
-        heard |= link.controls
-    for link in home:
-        heard.discard(link.address)
-        heard -= link.controls
-    return heard
+        reachable.add(link.address)
+        reachable |= link.controls
+    for link in own_domain:
+        reachable.discard(link.address)
+        reachable -= link.controls
+    return reachable
 
 
-def add_home(
+def add_own_domain(
     followed: Sequence[HubLink], live: Iterable[HubLink], failure_domain: str
 ) -> list[HubLink]:
-    """Add control instances at home to those that are followed.
+    """Return the followed control instances with more of the own failure domain.
 
-    Only one that is followed can show that those at home are enough again.
+    Only followed instances can show that the own failure domain suffices again.
 
     Parameters
     ----------
     followed : sequence of HubLink
-        Those that are followed.
+        Followed control instances.
     live : iterable of HubLink
-        Those that answered lately.
+        Reachable control instances.
     failure_domain : str
-        Of the entry instance.
+        Failure domain of the entry instance.
 
     Returns
     -------
     list of HubLink
-        With `HOME_COUNT` at home, if as many answered.
+        With `OWN_DOMAIN_COUNT` of the own failure domain, if as many are reachable.
     """
-    at_home = [link for link in followed if link.failure_domain == failure_domain]
-    missing_count = max(0, HOME_COUNT - len(at_home))
+    own_domain = [link for link in followed if link.failure_domain == failure_domain]
+    missing_count = max(0, OWN_DOMAIN_COUNT - len(own_domain))
     added = sorted(
         (
             link
@@ -155,32 +157,32 @@
     return [*followed, *added[:missing_count]]
 
 
-def has_home_pair(failure_domain: str, others: Iterable[HubLink]) -> bool:
-    """Tell whether some failure domain has control instances enough of its own.
+def has_self_sufficient_domain(failure_domain: str, others: Iterable[HubLink]) -> bool:
+    """Return whether some failure domain has enough control instances of its own.
 
     Parameters
     ----------
     failure_domain : str
-        Of the control instance that asks.
+        Failure domain of this control instance.
     others : iterable of HubLink
-        The other control instances.
+        Other control instances.
 
     Returns
     -------
     bool
-        Whether entry instances there may follow these only.
+        Whether entry instances of some failure domain may follow only these.
     """
     counts = Counter([failure_domain, *(link.failure_domain for link in others)])
-    return max(counts.values()) >= HOME_COUNT and len(counts) > 1
+    return max(counts.values()) >= OWN_DOMAIN_COUNT and len(counts) > 1
 
 
-class HomeChoice:
-    """Decides at each poll whether those at home are enough.
+class OwnDomainChoice:
+    """Decides at each poll whether the own failure domain suffices.
 
     Parameters
     ----------
     failure_domain : str
-        Of the entry instance.
+        Failure domain of the entry instance.
     now_s : callable
         Monotonic clock.
     """
@@ -188,61 +190,72 @@
     def __init__(self, failure_domain: str, now_s: Callable[[], float]):
         self._failure_domain = failure_domain
         self._now_s = now_s
-        self._agreed_s = float("-inf")
-        #: Since when those at home are enough again; None while they are not.
-        self._enough_since_s: float | None = float("-inf")
-        self._first_heard_s: float | None = None
-        self._is_enough = False
+        self._last_consistent_s = float("-inf")
+        #: Since when the own failure domain suffices again; None while it does not.
+        self._sufficient_since_s: float | None = float("-inf")
+        self._first_reply_s: float | None = None
+        self._is_sufficient = False
 
     def choose(self, live: Sequence[HubLink]) -> list[HubLink]:
-        """Choose those at home, if they are enough.
+        """Return the control instances of the own failure domain, if they suffice.
 
         Parameters
         ----------
         live : sequence of HubLink
-            Those that answered lately.
+            Reachable control instances.
 
         Returns
         -------
         list of HubLink
-            Empty if others are to be followed, too.
+            Empty if other failure domains have to be followed, too.
         """
         now_s = self._now_s()
         if not live:
-            # Nobody is to be told from those at home when they answer again.
-            self._first_heard_s, self._enough_since_s = None, float("-inf")
+            # No recovery delay applies when the own failure domain answers again.
+            self._first_reply_s, self._sufficient_since_s = None, float("-inf")
             return []
-        if self._first_heard_s is None:
-            self._first_heard_s = now_s
-        home = self._judge(live, now_s)
-        if bool(home) != self._is_enough:
-            self._is_enough = bool(home)
-            self._log_change(home, live)
-        return home
+        if self._first_reply_s is None:
+            self._first_reply_s = now_s
+        own_domain = self._judge(live, now_s)
+        if bool(own_domain) != self._is_sufficient:
+            self._is_sufficient = bool(own_domain)
+            self._log_change(own_domain, live)
+        return own_domain
 
     def _judge(self, live: Sequence[HubLink], now_s: float) -> list[HubLink]:
-        is_first = now_s - self._first_heard_s < _FIRST_TELLING_S
-        home = choose_home(live, self._failure_domain, is_first)
-        if home and not find_unheard(home, live):
-            self._agreed_s = now_s
-        if not home or now_s - self._agreed_s > _DISAGREE_S:
-            if not is_first:
-                self._enough_since_s = None
+        is_initial_sync = now_s - self._first_reply_s < _INITIAL_SYNC_TIMEOUT_S
+        own_domain = choose_own_domain(live, self._failure_domain, is_initial_sync)
+        if own_domain and not find_unreachable_controls(own_domain, live):
+            self._last_consistent_s = now_s
+        if (
+            not own_domain
+            or now_s - self._last_consistent_s > _VIEW_DIFFERENCE_TIMEOUT_S
+        ):
+            if not is_initial_sync:
+                self._sufficient_since_s = None
             return []
-        if self._enough_since_s is None:
-            self._enough_since_s = now_s
-        return home if now_s - self._enough_since_s >= _REGAINED_S else []
-
-    def _log_change(self, home: Sequence[HubLink], live: Sequence[HubLink]) -> None:
-        if home:
-            followed = [link.address.hex() for link in home]
+        if self._sufficient_since_s is None:
+            self._sufficient_since_s = now_s
+        return (
+            own_domain if now_s - self._sufficient_since_s >= _RECOVERY_DELAY_S else []
+        )
+
+    def _log_change(
+        self, own_domain: Sequence[HubLink], live: Sequence[HubLink]
+    ) -> None:
+        if own_domain:
+            followed = [link.address.hex() for link in own_domain]
             log.info(Event.HOME_IS_ENOUGH, followed=followed)
             return
-        at_home = [one for one in live if one.failure_domain == self._failure_domain]
+        candidates = [
+            link for link in live if link.failure_domain == self._failure_domain
+        ]
         states = [
-            f"{one.address.hex()} leader={one.hears_leader} settled={one.settled} "
-            f"complete={one.complete}"
-            for one in at_home
+            f"{link.address.hex()} leader={link.hears_leader} settled={link.settled} "
+            f"complete={link.complete}"
+            for link in candidates
+        ]
+        unreachable = [
+            address.hex() for address in find_unreachable_controls(candidates, live)
         ]
-        unheard = [address.hex() for address in find_unheard(at_home, live)]
-        log.info(Event.HOME_NOT_ENOUGH, at_home=states, unheard=unheard)
+        log.info(Event.HOME_NOT_ENOUGH, at_home=states, unheard=unreachable)
--- a/src/agatethread/registry/_link.py
+++ b/src/agatethread/registry/_link.py
@@ -1,4 +1,4 @@
-"""What a subscriber has of one control instance's state."""
+"""Stores the state that a subscriber has received from a control instance."""
 
 from dataclasses import dataclass, field
 
@@ -6,70 +6,70 @@
 from agatethread.registry._presence import NO_RANK, EntryRank
 from agatethread.wire.registry_pb2 import Delta, Dispatchers, DomainCounts, HubState
 
-#: Messages that are acknowledged together: half of those sent at a time.
-_ACKNOWLEDGED = 4
+#: Messages acknowledged together; half of a window.
+_MESSAGES_PER_ACKNOWLEDGEMENT = 4
 
 log = make_logger("registry")
 
 
 @dataclass
 class HubLink:
-    """What this process has of one control instance's state."""
+    """State that this process has received from one control instance."""
 
     address: bytes
     failure_domain: str = ""
     incarnation: int = 0
     seen_index: int = 0
-    #: Messages since it was told how far this process is.
+    #: Messages since the last acknowledgement.
     unacknowledged_count: int = 0
-    heard_s: float = float("-inf")
-    knocked_s: float = float("-inf")
-    #: When it was asked last, and whether it has answered as far as the log says.
-    asked_s: float = float("-inf")
-    in_sight: bool = False
-    #: Since when it has not answered; infinite while nothing was asked.
-    unanswered_s: float = float("inf")
-    #: When it was asked last for what is new.
+    last_reply_s: float = float("-inf")
+    probed_s: float = float("-inf")
+    #: Time of the last request, and whether the log shows it as reachable.
+    requested_s: float = float("-inf")
+    is_reachable: bool = False
+    #: Time of the first unanswered request; infinite if there is none.
+    unanswered_since_s: float = float("inf")
+    #: Time of the last poll for changes.
     polled_s: float = float("-inf")
-    #: Whether it says that it knows every backend server that reports.
+    #: Whether it knows every reporting backend server.
     settled: bool = False
     #: Whether it hears a leader.
     hears_leader: bool = False
-    #: Its newest agreed routing table, as it said last.
+    #: Version of its newest agreed routing table.
     routes_version: int = 0
-    #: This instance's rank among the entry instances that it hears.
+    #: Rank of this instance among the entry instances that it reaches.
     rank: EntryRank = NO_RANK
-    #: What it said of this instance's failure domain, and when.
+    #: Counts of this instance's failure domain, and the time of their receipt.
     domain: DomainCounts | None = None
-    domain_told_s: float = float("-inf")
-    #: Who places openings in each failure domain, as it said last, and when.
+    domain_received_s: float = float("-inf")
+    #: Dispatchers of each failure domain, and the time of their receipt.
     dispatchers: tuple[Dispatchers, ...] = ()
     dispatchers_digest: int = 0
     dispatchers_told_s: float = float("-inf")
-    #: Entry instances of its failure domain that serve and ask it, and when it said so.
+    #: Serving entry instances of its failure domain, and the time of their receipt.
     serving: tuple[bytes, ...] = ()
     serving_told_s: float = float("-inf")
-    #: Whether all that it knew has arrived here once.
+    #: Whether its full state has been received once.
     complete: bool = False
-    #: Whether this process told it that it does not follow it any more.
-    is_left: bool = False
-    #: Packed addresses of the control instances that it hears, as it said last.
+    #: Whether this process has unfollowed it.
+    is_unfollowed: bool = False
+    #: Packed addresses of the control instances that it reaches.
     controls: frozenset[bytes] = frozenset()
-    #: Runs that it holds for alive: the start time of the newest by id.
+    #: Start time of each live run at this instance, by id.
     reporting: dict[str, int] = field(default_factory=dict)
 
-    def note_heard(self, delta: Delta, now_s: float) -> None:
-        """Note that it has said something.
+    def record_message(self, delta: Delta, now_s: float) -> None:
+        """Store the header fields of a message; mark the instance as reachable.
 
         Parameters
         ----------
         delta : Delta
-            Its message.
+            Message of the control instance.
         now_s : float
-            Present time.
+            Current time.
         """
-        if not self.in_sight:
-            self.in_sight = True
+        if not self.is_reachable:
+            self.is_reachable = True
             log.info(
                 Event.CONTROL_IN_SIGHT,
                 address=self.address.hex(),
@@ -77,33 +77,33 @@
                 settled=delta.settled,
             )
         if self.incarnation != delta.hub_incarnation:
-            self.restart(delta.hub_incarnation)
-        self.heard_s = now_s
-        self.unanswered_s = float("inf")
+            self.reset(delta.hub_incarnation)
+        self.last_reply_s = now_s
+        self.unanswered_since_s = float("inf")
         self.settled = delta.settled
         self.failure_domain = delta.failure_domain
 
-    def leave(self) -> None:
-        """Stop to follow it; what it told goes stale from here on."""
-        self.is_left = True
+    def unfollow(self) -> None:
+        """Mark the instance as unfollowed; its state is no longer updated."""
+        self.is_unfollowed = True
         self.complete = False
 
-    def note_hub(self, state: HubState, now_s: float) -> None:
-        """Note what the control instance sees around it.
+    def update_state(self, state: HubState, now_s: float) -> None:
+        """Store the control instance's view of the registry.
 
         Parameters
         ----------
         state : HubState
-            As it said.
+            State in the reply.
         now_s : float
-            Present time.
+            Current time.
         """
         self.hears_leader = state.hears_leader
         self.routes_version = state.routes_version
         self.rank = EntryRank(state.rank, state.entries)
         if state.HasField("domain"):
             self.domain = state.domain
-            self.domain_told_s = now_s
+            self.domain_received_s = now_s
         if state.dispatchers:
             self.dispatchers = tuple(state.dispatchers)
             self.dispatchers_digest = state.dispatchers_digest
@@ -113,41 +113,43 @@
             self.serving = tuple(state.serving)
             self.serving_told_s = now_s
 
-    def take(self, delta: Delta) -> bool:
-        """Note how far a message brings this process.
+    def advance(self, delta: Delta) -> bool:
+        """Advance the index of received changes.
 
         Parameters
         ----------
         delta : Delta
-            Changes that follow those known, or are among them.
+            Changes that leave no gap to those received.
 
         Returns
         -------
         bool
-            Whether it is acknowledged now: the last of several, and each fourth. One
-            acknowledgement a message took a control instance with 297 entry instances
-            longer than to send what they acknowledge.
+            Whether to acknowledge now: after the last message and each fourth, to limit
+            the load of acknowledgements on the control instance.
         """
         is_new = delta.through_index > self.seen_index
         self.seen_index = max(self.seen_index, delta.through_index)
         self.unacknowledged_count += 1
-        if not delta.complete and self.unacknowledged_count < _ACKNOWLEDGED:
+        if (
+            not delta.complete
+            and self.unacknowledged_count < _MESSAGES_PER_ACKNOWLEDGEMENT
+        ):
             return False
         self.unacknowledged_count = 0
         return is_new or bool(delta.runs or delta.reporting)
 
-    def restart(self, incarnation: int) -> None:
-        """Start anew, since the instance has.
+    def reset(self, incarnation: int) -> None:
+        """Reset the received state after a restart of the control instance.
 
         Parameters
         ----------
         incarnation : int
-            Of its present run.
+            New incarnation.
         """
         self.incarnation = incarnation
         self.polled_s = float("-inf")
         self.seen_index = 0
         self.settled = False
         self.complete = False
-        self.is_left = False
+        self.is_unfollowed = False
         self.reporting.clear()
--- a/src/agatethread/registry/_presence.py
+++ b/src/agatethread/registry/_presence.py
@@ -1,4 +1,4 @@
-"""Which entry instances of a failure domain serve, as a control instance hears them."""
+"""Counts and ranks the entry instances that poll a control instance."""
 
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass
@@ -13,12 +13,12 @@
     Presence,
 )
 
-#: A serving instance polls each 0.4 s; one silent for five polls is not serving.
-_SILENT_S = 2.0
+#: Time without a poll after which an instance is not serving; five polls.
+_SERVING_TIMEOUT_S = 2.0
 
 
 class Subscriber(Protocol):
-    """What is looked at of one that polls."""
+    """Fields of a polling instance that are used here."""
 
     failure_domain: str
     heard_s: float
@@ -27,16 +27,16 @@
 
 @dataclass(frozen=True, slots=True)
 class DomainView:
-    """The other entry instances of one's own failure domain.
+    """Counts of the other entry instances of the own failure domain.
 
     Attributes
     ----------
     others : int
-        All of them.
+        All other entry instances.
     away : int
-        Those that do not serve.
+        Entry instances that do not serve.
     ahead : int
-        Those that wait to leave and go first.
+        Entry instances that are leaving and go first.
     """
 
     others: int
@@ -46,42 +46,43 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryRank:
-    """An entry instance's rank among all that a control instance hears."""
+    """Rank of an entry instance among all known to a control instance."""
 
     position: int
     count: int
 
 
-#: Nobody has told it yet.
+#: Rank before the first reply of a control instance.
 NO_RANK = EntryRank(0, 0)
 
 
 def rank_entries(
-    entries: Iterable[tuple[str, bytes]], told: Mapping[str, int] = MappingProxyType({})
+    entries: Iterable[tuple[str, bytes]],
+    reported: Mapping[str, int] = MappingProxyType({}),
 ) -> dict[bytes, EntryRank]:
-    """Rank entry instances; all that know the same ones rank them alike.
+    """Return the ranks of entry instances, independent of the order of input.
 
-    Those of a failure domain stand together, so that a control instance that hears only
-    its own domain's needs but the numbers of the others to rank them among all.
+    Ranks are ordered by failure domain, so that a control instance that reaches only
+    its own failure domain needs only the counts of the others.
 
     Parameters
     ----------
     entries : iterable of tuple of (str, bytes)
-        Failure domains and packed addresses of those that are heard.
-    told : mapping of str to int, optional
-        How many there are by failure domain, as control instances there say.
+        Failure domains and packed addresses of reachable entry instances.
+    reported : mapping of str to int, optional
+        Counts by failure domain, as reported by control instances there.
 
     Returns
     -------
     dict of bytes to EntryRank
-        By address.
+        Ranks by packed address.
     """
-    by_domain: dict[str, list[bytes]] = {domain: [] for domain in told}
+    by_domain: dict[str, list[bytes]] = {domain: [] for domain in reported}
     for domain, address in entries:
         by_domain.setdefault(domain, []).append(address)
     sizes = {
-        domain: max(len(heard), told.get(domain, 0))
-        for domain, heard in by_domain.items()
+        domain: max(len(addresses), reported.get(domain, 0))
+        for domain, addresses in by_domain.items()
     }
     count = sum(sizes.values())
     ranks: dict[bytes, EntryRank] = {}
@@ -93,51 +94,51 @@
     return ranks
 
 
-class _Told(Protocol):
-    """What is looked at of a control instance that says how many it hears at home."""
+class _EntryCountSource(Protocol):
+    """Fields of a control instance that are used to count entry instances."""
 
     failure_domain: str
     rank: EntryRank
 
 
-def count_told(hubs: Iterable[_Told]) -> dict[str, int]:
-    """Count the entry instances of each failure domain, as control instances say.
+def count_entries_by_domain(hubs: Iterable[_EntryCountSource]) -> dict[str, int]:
+    """Return the reported number of entry instances of each failure domain.
 
     Parameters
     ----------
     hubs : iterable of HubLink
-        The control instances.
+        Control instances that report them.
 
     Returns
     -------
     dict of str to int
-        By failure domain; as the one says that hears the most.
+        Highest reported count by failure domain.
     """
     counts: dict[str, int] = {}
     for hub in hubs:
-        known_count = counts.get(hub.failure_domain, 0)
-        counts[hub.failure_domain] = max(known_count, hub.rank.count)
+        previous_count = counts.get(hub.failure_domain, 0)
+        counts[hub.failure_domain] = max(previous_count, hub.rank.count)
     return counts
 
 
 def count_domain(
     subscribers: Mapping[bytes, Subscriber], address: bytes, now_s: float
 ) -> DomainCounts:
-    """Count the other entry instances of a subscriber's failure domain.
+    """Return counts of the other entry instances of a subscriber's failure domain.
 
     Parameters
     ----------
     subscribers : mapping of bytes to Subscriber
-        All subscribers by their packed addresses.
+        All subscribers by packed address.
     address : bytes
-        The subscriber that asks.
+        Packed address of the requesting subscriber.
     now_s : float
-        Present time.
+        Current time.
 
     Returns
     -------
     DomainCounts
-        Without the subscriber itself.
+        Counts without the subscriber itself.
     """
     domain = subscribers[address].failure_domain
     counts = DomainCounts()
@@ -147,7 +148,7 @@
         if other.presence == PRESENCE_UNKNOWN:
             continue
         counts.others += 1
-        if now_s - other.heard_s > _SILENT_S:
+        if now_s - other.heard_s > _SERVING_TIMEOUT_S:
             counts.away += 1
         elif other.presence == PRESENCE_LEAVING:
             counts.ahead += other_address < address
@@ -156,24 +157,24 @@
     return counts
 
 
-def merge_counts(told: Iterable[DomainCounts]) -> DomainView | None:
-    """Merge what several control instances say; the most cautious figure is taken.
+def merge_counts(reported: Iterable[DomainCounts]) -> DomainView | None:
+    """Return the highest of each count that control instances report.
 
     Parameters
     ----------
-    told : iterable of DomainCounts
-        One from each.
+    reported : iterable of DomainCounts
+        Counts from each control instance.
 
     Returns
     -------
     DomainView or None
-        None if nobody said anything.
+        None if there are no counts.
     """
-    counts = list(told)
+    counts = list(reported)
     if not counts:
         return None
     return DomainView(
-        others=max(one.others for one in counts),
-        away=max(one.away for one in counts),
-        ahead=max(one.ahead for one in counts),
+        others=max(count.others for count in counts),
+        away=max(count.away for count in counts),
+        ahead=max(count.ahead for count in counts),
     )
--- a/src/agatethread/registry/_rounds.py
+++ b/src/agatethread/registry/_rounds.py
@@ -1,70 +1,74 @@
-"""How much a control instance tells at a time, and whom first."""
+"""Limits the messages of a sending round, and orders its subscribers."""
 
 from collections.abc import Iterable
 
 from agatethread.registry._subscribers import Subscriber
 
-#: Messages of one round: 600 are a quarter of a small processor's time in 0.1 s. All
-#: that 3,000 runs are takes 300 messages to each of 297 entry instances; sent as fast
-#: as windows allow, a control instance has no time left for acknowledgements, and sends
-#: it again.
-MOST_MESSAGES = 600
-_FEWEST_MESSAGES = 50
-_MORE_MESSAGES = 50
-#: Share of messages that are sent again, above which acknowledgements wait here: links
-#: lose some of a hundred.
-_MOST_RESENT = 0.25
+#: Handles many entry instances that need the full state: leaves processor time to read
+#: acknowledgements, so that messages are not resent needlessly.
+MAX_ROUND_MESSAGES = 600
+_MIN_ROUND_MESSAGES = 50
+_ROUND_MESSAGES_INCREMENT = 50
+#: Share of resent messages that indicates unread acknowledgements; above packet loss.
+_MAX_RESENT_SHARE = 0.25
 
 
-def next_limit(limit_count: int, told_count: int, resent_count: int) -> int:
-    """Choose the most messages of a round (additive increase, halved when in vain).
+def next_limit(limit_count: int, sent_count: int, resent_count: int) -> int:
+    """Return the message limit of a round (additive increase, halved on resends).
 
     Parameters
     ----------
     limit_count : int
-        Of the round before.
-    told_count : int
-        Messages that it had.
+        Limit of the previous round.
+    sent_count : int
+        Messages of the previous round.
     resent_count : int
-        Those of them that had been sent before.
+        Resent messages among them.
 
     Returns
     -------
     int
-        Of this round.
+        Limit of this round.
     """
-    if resent_count > _MOST_RESENT * told_count:
-        return max(_FEWEST_MESSAGES, limit_count // 2)
-    return min(MOST_MESSAGES, limit_count + _MORE_MESSAGES)
+    if resent_count > _MAX_RESENT_SHARE * sent_count:
+        return max(_MIN_ROUND_MESSAGES, limit_count // 2)
+    return min(MAX_ROUND_MESSAGES, limit_count + _ROUND_MESSAGES_INCREMENT)
 
 
-def order_turns(
-    subscribers: Iterable[tuple[bytes, Subscriber]], failure_domain: str, first: bytes
+def order_round(
+    subscribers: Iterable[tuple[bytes, Subscriber]],
+    failure_domain: str,
+    first_address: bytes,
 ) -> list[tuple[bytes, Subscriber]]:
-    """Order subscribers for a round that may not reach all of them.
+    """Return subscribers in sending order, for a round that may not reach all of them.
 
-    Other control instances go first, then entry instances of the own failure domain, so
-    that each has all from one control instance before the others tell it the same;
-    among the rest nobody is left out for long.
+    Control instances go first, then entry instances of the own failure domain, so that
+    each receives changes from one control instance before the others send them, too.
+    The next round continues where the previous one ended.
 
     Parameters
     ----------
     subscribers : iterable of tuple of (bytes, Subscriber)
-        By packed address.
+        Packed addresses and subscribers.
     failure_domain : str
-        Of the control instance.
-    first : bytes
-        Packed address of the first one that the round before did not reach.
+        Failure domain of the control instance.
+    first_address : bytes
+        Packed address of the first subscriber that the previous round did not reach.
 
     Returns
     -------
     list of tuple of (bytes, Subscriber)
-        All of them.
+        All subscribers in order.
     """
 
-    def rank(one: tuple[bytes, Subscriber]) -> tuple[bool, bool, bool, bytes]:
-        address, subscriber = one
-        is_away = subscriber.failure_domain != failure_domain
-        return (not subscriber.is_control, is_away, address < first, address)
+    def rank(item: tuple[bytes, Subscriber]) -> tuple[bool, bool, bool, bytes]:
+        address, subscriber = item
+        is_other_domain = subscriber.failure_domain != failure_domain
+        return (
+            not subscriber.is_control,
+            is_other_domain,
+            address < first_address,
+            address,
+        )
 
     return sorted(subscribers, key=rank)
--- a/src/agatethread/registry/_runs.py
+++ b/src/agatethread/registry/_runs.py
@@ -1,8 +1,8 @@
-"""The newest run of every backend server that this control instance has heard of.
+"""Stores the newest run of every known backend server.
 
-Reports come directly or through another control instance, late, twice or out of order;
-`_admission` decides what they tell. A run only moves forward, from reporting to
-draining to ended, and a later run of the same id replaces it with all that was known.
+Reports arrive directly or through other control instances, possibly late, duplicated or
+out of order; `_admission` judges them. The state of a run only advances, from reporting
+to draining to ended, and a later run of the same id replaces it.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Mapping
@@ -18,12 +18,12 @@
 from agatethread.registry._entries import (
     RunEntry,
     RunIndex,
+    apply_numbered_report,
+    can_send_by_number,
     describe,
-    is_told_by_number,
     last_index,
-    report_of,
-    run_of,
-    take_number,
+    to_report,
+    to_run,
 )
 from agatethread.registry._report import START_NOT_TOLD, Report
 from agatethread.registry._run_logs import (
@@ -35,18 +35,18 @@
 )
 from agatethread.wire.registry_pb2 import BackendRun
 
-#: Reporting intervals without a report before a run gets no new work. Two may be lost
-#: while the server looks for a control instance that answers; each try takes a second.
+#: Reporting intervals without a report before a run gets no new work. Tolerates two
+#: lost reports while the server searches for a control instance that answers.
 _SILENT_INTERVALS = 2.5
-_SILENT_EXTRA_S = 1.0
-#: Reporting intervals after which another run may take an address that is still held.
-_HELD_INTERVALS = 1.5
-#: A pause between two sweeps that means that this process did not run meanwhile.
-_PAUSE_S = 1.0
+_SILENT_MARGIN_S = 1.0
+#: Reporting intervals without a report after which another run may use the address.
+_ADDRESS_LEASE_INTERVALS = 1.5
+#: Time between two sweeps above which this process counts as suspended meanwhile.
+_SUSPENSION_THRESHOLD_S = 1.0
 
 
 class RunTable:
-    """Runs by id, each with the index of its last change.
+    """Stores runs by id, each with the index of its last change.
 
     Parameters
     ----------
@@ -57,124 +57,122 @@
     """
 
     def __init__(self, interval_s: float, now_s: Callable[[], float]):
-        self._held_s = _HELD_INTERVALS * interval_s
-        self._silent_s = _SILENT_INTERVALS * interval_s + _SILENT_EXTRA_S
+        self._address_lease_s = _ADDRESS_LEASE_INTERVALS * interval_s
+        self._silent_s = _SILENT_INTERVALS * interval_s + _SILENT_MARGIN_S
         self._now_s = now_s
         self._entries = RunIndex()
-        #: Names of the configured services; empty while none is known.
+        #: Names of the configured services; empty before the first routing table.
         self.services: frozenset[str] = frozenset()
-        self._swept_s = now_s()
+        self._last_sweep_s = now_s()
         self.index = 0
-        #: Index of the last change that entry instances must know.
+        #: Index of the last change that is sent to entry instances.
         self.changed_index = 0
 
     def __len__(self) -> int:
         return len(self._entries)
 
     def find(self, run_id: str) -> BackendRun | None:
-        """Look up a run.
+        """Return the newest run of an id.
 
         Parameters
         ----------
         run_id : str
-            Its id.
+            Id of the run.
 
         Returns
         -------
         BackendRun or None
-            What is known of it.
+            None if the id is unknown.
         """
-        entry = self._entries.find(run_id)
+        entry = self._entries.get(run_id)
         return entry.run if entry else None
 
-    # -- reports ------------------------------------------------------------------
-
     def report(self, report: Report) -> bool:
-        """Take a report that came directly from its run.
+        """Apply a report received directly from its run.
 
         Parameters
         ----------
         report : Report
-            The report.
+            Report of the run.
 
         Returns
         -------
         bool
-            Whether entry instances must be told of it.
+            Whether the change has to be sent to entry instances.
 
         Raises
         ------
         ReportRefusedError
-            If another writer sent it under this id; nothing was changed.
+            If the report contradicts the known runs; nothing was changed.
         """
         verdict = self._judge(report)
         if verdict in (Verdict.STARTS, Verdict.CONTINUES):
-            verdict = self._judge_writer(report, verdict)
-        entry = self._follow(report, verdict)
+            verdict = self._check_writer(report, verdict)
+        entry = self._get_or_admit(report, verdict)
         if verdict.is_refusal:
             raise ReportRefusedError(report.id, verdict.value)
         if entry is None:
             return False
 
-        details = entry.run.slots, entry.run.warm_up_ms
+        previous_details = entry.run.slots, entry.run.warm_up_ms
         changed = self._refresh(entry, report)
         if not changed:
             self.index += 1
-        self._entries.note_report(entry, self.index)
-        if details != (entry.run.slots, entry.run.warm_up_ms):
+        self._entries.mark_reported(entry, self.index)
+        if previous_details != (entry.run.slots, entry.run.warm_up_ms):
             entry.details_index = self.index
         return changed
 
-    def _judge_writer(self, report: Report, verdict: Verdict) -> Verdict:
-        """Refuse what can't be a backend server's of ours, also of a known run."""
+    def _check_writer(self, report: Report, verdict: Verdict) -> Verdict:
+        """Return a refusal for an unknown service or a missing start time."""
         starts = verdict is Verdict.STARTS
-        # Before any table is known, every service may be one.
+        # Before the first routing table, every service is accepted.
         if starts and self.services and report.service not in self.services:
             return Verdict.UNKNOWN_SERVICE
-        if report.started_ms == START_NOT_TOLD and self._entries.most_tell_starts():
+        if report.started_ms == START_NOT_TOLD and self._entries.most_have_start():
             return Verdict.START_MISSING
         return verdict
 
     def _judge(self, report: Report) -> Verdict:
-        holder = self._entries.find_holder(report.address, report.id)
-        namesake = self._entries.find_namesake(report.number, report.id)
+        holder = self._entries.get_address_holder(report.address, report.id)
+        number_holder = self._entries.get_number_holder(report.number, report.id)
         return judge_report(
             report,
-            self._known(self._entries.find(report.id)),
-            self._known(holder),
-            namesake.run if namesake else None,
-            self._held_s,
+            self._to_known(self._entries.get(report.id)),
+            self._to_known(holder),
+            number_holder.run if number_holder else None,
+            self._address_lease_s,
         )
 
-    def _known(self, entry: RunEntry | None) -> Known | None:
+    def _to_known(self, entry: RunEntry | None) -> Known | None:
         return Known(entry.run, self._now_s() - entry.heard_s) if entry else None
 
-    def _follow(self, report: Report, verdict: Verdict) -> RunEntry | None:
-        """Find or make the entry that a report belongs to, if it counts."""
+    def _get_or_admit(self, report: Report, verdict: Verdict) -> RunEntry | None:
+        """Return the existing or new entry of an accepted report, else None."""
         if verdict is Verdict.CONTINUES:
-            return self._entries.find(report.id)
+            return self._entries.get(report.id)
         if verdict is Verdict.STARTS:
             return self._admit(report)
         if verdict is not Verdict.OVERTAKEN:
-            holder = self._entries.find_holder(report.address, report.id)
+            holder = self._entries.get_address_holder(report.address, report.id)
             log_not_taken(report, verdict, holder, self._now_s())
         return None
 
     def _admit(self, report: Report) -> RunEntry:
-        earlier = self._entries.find(report.id)
+        earlier = self._entries.get(report.id)
         if earlier is not None and not earlier.run.ended:
             self._end(earlier, "it started again")
-        holder = self._entries.find_holder(report.address, report.id)
+        holder = self._entries.get_address_holder(report.address, report.id)
         if holder is not None:
             self._end(holder, "another run reports from its address")
-        return self._entries.add(run_of(report))
+        return self._entries.add(to_run(report))
 
     def _refresh(self, entry: RunEntry, report: Report) -> bool:
         run = entry.run
         is_new = entry.heard_s == 0.0
         draining = run.draining or report.draining
         warm_up_ms = int(report.warm_up_s * 1000)
-        # It may turn cold while it lives, as servers do that got no work for long.
+        # A server that received no work for long may need to warm up again.
         is_colder = warm_up_ms > run.warm_up_ms
         changed = is_new or run.silent or draining != run.draining or is_colder
         entry.heard_s = self._now_s()
@@ -184,57 +182,57 @@
         run.silent = False
         run.warm_up_ms = warm_up_ms
         if changed:
-            self._mark(entry)
+            self._mark_changed(entry)
             log_reports(run, is_new)
         return changed
 
     def leave(self, run_id: str, started_ms: int = START_NOT_TOLD) -> bool:
-        """Note that a run has ended by its own word.
+        """Mark a run as ended by its own request.
 
         Parameters
         ----------
         run_id : str
-            Its id; one never heard of is remembered, too, against late reports.
+            Id of the run; an unknown id is stored as ended, to reject late reports.
         started_ms : int, optional
-            When the run started, if it said so.
+            Start time of the run, if given.
 
         Returns
         -------
         bool
-            Whether entry instances must be told of it.
+            Whether the change has to be sent to entry instances.
 
         Raises
         ------
         ReportRefusedError
-            If it may mean an earlier run; another control instance may know better.
+            If the request may concern an earlier run; the sender may retry elsewhere.
         """
         ended = BackendRun(id=run_id, started_ms=started_ms, ended=True)
-        changed = self._take_end(ended, "it said so")
-        if started_ms == START_NOT_TOLD and not self._entries.find(run_id).run.ended:
+        changed = self._apply_end(ended, "it said so")
+        if started_ms == START_NOT_TOLD and not self._entries.get(run_id).run.ended:
             raise ReportRefusedError(run_id, "it may be the end of an earlier run")
         return changed
 
     def take(self, run: BackendRun) -> bool:
-        """Take what another control instance knows of a run.
+        """Apply the state of a run at another control instance.
 
         Parameters
         ----------
         run : BackendRun
-            Its state there.
+            State of the run there.
 
         Returns
         -------
         bool
-            Whether entry instances must be told of it.
+            Whether the change has to be sent to entry instances.
         """
         if run.ended:
-            return self._take_end(run, "another control instance says so")
-        known = self._entries.find(run.id)
-        if run.silent and (known is None or run.started_ms <= known.run.started_ms):
-            # That nothing is heard there says nothing here, unless the run is new.
+            return self._apply_end(run, "another control instance says so")
+        stored = self._entries.get(run.id)
+        if run.silent and (stored is None or run.started_ms <= stored.run.started_ms):
+            # The run may still report here, unless the other instance has a later one.
             return False
-        report = report_of(run)
-        entry = self._follow(report, self._judge(report))
+        report = to_report(run)
+        entry = self._get_or_admit(report, self._judge(report))
         if entry is None:
             return False
         changed = self._refresh(entry, report)
@@ -244,36 +242,39 @@
     def take_number(
         self, number: int, sequence: int, starts: Mapping[str, int]
     ) -> bool:
-        """Take a report to another control instance that it told by its number.
+        """Apply a report that another control instance sent by run number.
 
         Parameters
         ----------
         number : int
-            Of the run.
+            Number of the run.
         sequence : int
-            Of the report.
+            Sequence of the report.
         starts : mapping of str to int
-            Starts of the runs that it holds for alive, by id, as it told them whole.
+            Start times by id of the live runs that the other instance sent in full.
 
         Returns
         -------
         bool
-            Whether entry instances must be told of it.
+            Whether the change has to be sent to entry instances.
         """
-        entry = self._entries.find_numbered(number)
+        entry = self._entries.get_by_number(number)
         if entry is None or entry.run.id not in starts:
             return False
         started_ms, now_s = starts[entry.run.id], self._now_s()
-        if not take_number(entry, sequence, started_ms, now_s) or not entry.run.silent:
+        if (
+            not apply_numbered_report(entry, sequence, started_ms, now_s)
+            or not entry.run.silent
+        ):
             return False
         entry.run.silent = False
-        self._mark(entry)
+        self._mark_changed(entry)
         return True
 
-    def _take_end(self, ended: BackendRun, reason: str) -> bool:
-        entry = self._entries.find(ended.id)
+    def _apply_end(self, ended: BackendRun, reason: str) -> bool:
+        entry = self._entries.get(ended.id)
         if entry is None or entry.run.started_ms < ended.started_ms:
-            return self._remember_end(entry, ended, reason)
+            return self._store_unknown_end(entry, ended, reason)
         if entry.run.ended:
             return False
         if not end_is_of(entry.run, ended.started_ms):
@@ -283,7 +284,7 @@
         self._end(entry, reason)
         return True
 
-    def _remember_end(
+    def _store_unknown_end(
         self, earlier: RunEntry | None, ended: BackendRun, reason: str
     ) -> bool:
         if earlier is not None and not earlier.run.ended:
@@ -295,37 +296,35 @@
         run = entry.run
         run.ended = True
         entry.heard_s = self._now_s()
-        self._entries.free_address(entry)
-        self._mark(entry)
+        self._entries.release_address(entry)
+        self._mark_changed(entry)
         log_ended(run, reason)
 
-    def _mark(self, entry: RunEntry) -> None:
+    def _mark_changed(self, entry: RunEntry) -> None:
         self.index += 1
         self.changed_index = self.index
-        self._entries.note_change(entry, self.index)
-
-    # -- restarts -----------------------------------------------------------------
+        self._entries.mark_changed(entry, self.index)
 
     def remember(self, runs: Iterable[BackendRun]) -> None:
-        """Take what this instance knew before it was restarted.
+        """Restore the runs known before a restart of this instance.
 
         Parameters
         ----------
         runs : iterable of BackendRun
-            As `snapshot` returned them.
+            Runs as returned by `snapshot`.
         """
         for run in runs:
             entry = self._entries.add(run)
             entry.heard_s = self._now_s()
-            self._mark(entry)
+            self._mark_changed(entry)
 
     def snapshot(self) -> list[BackendRun]:
-        """Copy what is known of every run.
+        """Return a copy of every run.
 
         Returns
         -------
         list of BackendRun
-            In no particular order.
+            Copies in no particular order.
         """
         runs = []
         for entry in self._entries:
@@ -334,16 +333,14 @@
             runs.append(run)
         return runs
 
-    # -- time ---------------------------------------------------------------------
-
     def sweep(self) -> None:
-        """Find the runs that stopped reporting, and forget those long ended."""
+        """Mark runs without reports as silent; delete runs that ended long ago."""
         now_s = self._now_s()
-        paused = now_s - self._swept_s > _PAUSE_S
-        self._swept_s = now_s
+        was_suspended = now_s - self._last_sweep_s > _SUSPENSION_THRESHOLD_S
+        self._last_sweep_s = now_s
         for entry in self._entries:
-            if paused and not entry.run.ended:
-                # Reports came while this process stood still, and were lost.
+            if was_suspended and not entry.run.ended:
+                # Reports sent while this process was suspended were lost.
                 entry.heard_s = now_s
             self._sweep_entry(entry, now_s)
 
@@ -352,48 +349,46 @@
         age_s = now_s - entry.heard_s
         if run.ended:
             if age_s > KEPT_S:
-                self._entries.forget(entry)
+                self._entries.remove(entry)
             return
         if run.silent or age_s <= self._silent_s:
             return
         run.silent = True
-        self._mark(entry)
+        self._mark_changed(entry)
         log_stopped(run, age_s)
 
-    def is_told_by_number(self, run_id: str, after: int) -> bool:
-        """Tell whether a run's number is enough for one that has all up to an index."""
-        return is_told_by_number(self._entries.find(run_id), after)
-
-    # -- what to tell -------------------------------------------------------------
+    def can_send_by_number(self, run_id: str, after_index: int) -> bool:
+        """Return whether a report may be sent by run number after an index."""
+        return can_send_by_number(self._entries.get(run_id), after_index)
 
     def changes_after(
         self, index: int, with_reports: bool
     ) -> Iterator[tuple[int, BackendRun]]:
-        """List what changed, oldest first.
+        """Yield the runs that changed after an index, oldest change first.
 
         Parameters
         ----------
         index : int
-            What the receiver has.
+            Index after which changes are returned.
         with_reports : bool
-            Whether to list runs that only went on reporting to this instance, so that
-            another control instance knows that they do.
+            Whether to include runs that reported without a change; other control
+            instances need these.
 
         Yields
         ------
         tuple of (int, BackendRun)
-            Index of the change, and the run's present state.
+            Index of the change, and the current state of the run.
         """
         for entry in self._entries.changed_after(index, with_reports):
             yield last_index(entry, with_reports), entry.run
 
     def dump(self) -> list[dict[str, object]]:
-        """List the runs for a state dump.
+        """Return the runs for a state dump.
 
         Returns
         -------
         list of dict
-            Ready for JSON.
+            JSON-compatible fields.
         """
         now_s = self._now_s()
         return [describe(entry, now_s) for entry in self._entries]
--- a/src/agatethread/registry/_subscription.py
+++ b/src/agatethread/registry/_subscription.py
@@ -1,7 +1,7 @@
-"""The receiving side of the registry: polls to control instances, and what they bring.
+"""Polls control instances, and receives their state.
 
 An entry instance follows some control instances, see `_following`; a control instance
-follows all the others.
+follows all others.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,12 +11,16 @@
 from agatethread.registry._evacuations import EvacuationPublisher, KnownEvacuations
 from agatethread.registry._following import (
     choose_followed,
-    choose_routes_teller,
-    is_enough,
-    needs_asking,
+    choose_routes_source,
+    follows_enough,
+    needs_full_poll,
 )
-from agatethread.registry._home import HomeChoice, add_home, count_others
-from agatethread.registry._knocking import Knocker
+from agatethread.registry._home import (
+    OwnDomainChoice,
+    add_own_domain,
+    count_other_instances,
+)
+from agatethread.registry._knocking import Prober
 from agatethread.registry._link import HubLink
 from agatethread.registry._presence import DomainView, merge_counts
 from agatethread.registry._report import START_NOT_TOLD
@@ -34,32 +38,32 @@
     Sightings,
 )
 
-#: A followed hub that has not answered for so long is replaced: two polls and a
-#: resend, short beside the seconds in which a change must be in force.
-_HUB_LEASE_S = 1.0
+#: Time without an answer after which a followed control instance is replaced; covers
+#: two polls and a resend.
+_CONTROL_LEASE_S = 1.0
 
 log = make_logger("registry")
 
 Send = Callable[[RegistryMessage, bytes], None]
 
 
-def _pass_over(number: int, sequence: int, starts: Mapping[str, int]) -> None:
-    """Take no report."""
+def _ignore_report(number: int, sequence: int, starts: Mapping[str, int]) -> None:
+    """Ignore a report sent by run number."""
 
 
 class Subscription:
-    """Follows control instances and hands on what they say.
+    """Follows control instances, and passes on their changes.
 
     Parameters
     ----------
     failure_domain : str
-        Of this process.
+        Failure domain of this process.
     is_control : bool
-        Whether this process is a control instance itself.
+        Whether this process is a control instance.
     seeds : list of bytes
-        Packed registry addresses of some control instances.
+        Packed registry addresses of the initial control instances.
     own_address : bytes
-        Packed registry address of this process, which it does not follow.
+        Packed registry address of this process; it does not follow itself.
     send : callable
         Sends a message to a packed address.
     now_s : callable
@@ -69,10 +73,10 @@
     on_routes : callable
         Called with each newer routing table.
     counters : Counters
-        Counts what arrives.
+        Counters of rejected messages.
     evacuations : KnownEvacuations or EvacuationPublisher, optional
-        What is known of them; a control instance has them from the log, and says what
-        its entry instances know.
+        Store of received evacuations; a control instance passes its publisher, which
+        has them from the log.
     """
 
     def __init__(
@@ -97,33 +101,33 @@
         self._on_routes = on_routes
         self._counters = counters
         self._evacuations = evacuations or KnownEvacuations()
-        self._arriving = ChunkedTable()
-        #: What polls say of this process, where it is an entry instance.
+        self._incoming_table = ChunkedTable()
+        #: Presence of this entry instance, sent with polls.
         self.presence: Presence = PRESENCE_UNKNOWN
         self.routes_version = 0
-        #: The one that tells of routing tables; None while all are to.
-        self._routes_teller: HubLink | None = None
-        #: Takes a report that a control instance tells by its number, its sequence, and
-        #: the starts that this one told before; only control instances are told so.
-        self.on_number: Callable[[int, int, Mapping[str, int]], None] = _pass_over
+        #: Control instance that sends routing tables; None while all are asked.
+        self._routes_source: HubLink | None = None
+        #: Called for each report sent by run number, with number, sequence and the
+        #: start times known to the sender; control instances receive these.
+        self.on_number: Callable[[int, int, Mapping[str, int]], None] = _ignore_report
         self.links: dict[bytes, HubLink] = {}
-        self._home = HomeChoice(failure_domain, now_s)
+        self._own_domain_choice = OwnDomainChoice(failure_domain, now_s)
         self._followed: list[HubLink] = []
-        self._knocker = Knocker(
-            failure_domain, is_control, self.links.values, self._knock_at, now_s
+        self._prober = Prober(
+            failure_domain, is_control, self.links.values, self._send_probe, now_s
         )
         for seed in seeds:
             self.meet(seed, "")
 
     def meet(self, address: bytes, failure_domain: str) -> None:
-        """Note that there is a control instance.
+        """Add a control instance.
 
         Parameters
         ----------
         address : bytes
-            Its packed registry address.
+            Packed registry address of the control instance.
         failure_domain : str
-            Of it; empty if not known.
+            Failure domain of the control instance; empty if unknown.
         """
         if address == self._own_address:
             return
@@ -132,99 +136,96 @@
             link = self.links[address] = HubLink(address)
         link.failure_domain = failure_domain or link.failure_domain
 
-    # -- polls --------------------------------------------------------------------
-
     def live(self) -> list[HubLink]:
-        """List the control instances that answered lately.
+        """Return the reachable control instances.
 
         Returns
         -------
         list of HubLink
-            In no particular order.
+            Control instances in no particular order.
         """
-        oldest_s = self._now_s() - _HUB_LEASE_S
-        return [link for link in self.links.values() if link.heard_s > oldest_s]
+        oldest_s = self._now_s() - _CONTROL_LEASE_S
+        return [link for link in self.links.values() if link.last_reply_s > oldest_s]
 
     def knock_urgently(self) -> None:
-        """Ask again at once while no control instance answers."""
+        """Send probes while no control instance is reachable."""
         if not self.live():
-            self._knocker.knock([])
+            self._prober.probe_unfollowed([])
 
     def poll(self) -> None:
-        """Ask the followed control instances for what is new."""
-        self._note_lost()
+        """Poll the followed control instances, and probe others if needed."""
+        self._mark_unreachable()
         if self._is_control:
             followed = self.live()
-            self._ask(followed)
-            self._knocker.knock(followed)
+            self._poll_followed(followed)
+            self._prober.probe_unfollowed(followed)
             return
-        home = self._choose_home()
-        if home:
-            self._leave_all_but(home)
-            self._ask(home)
-            self._knocker.watch(home)
+        own_domain = self._choose_own_domain()
+        if own_domain:
+            self._unfollow_others(own_domain)
+            self._poll_followed(own_domain)
+            self._prober.probe_other_domains(own_domain)
             return
         live, domain = self.live(), self._failure_domain
-        others_count = count_others(self.links.values(), live, domain)
+        others_count = count_other_instances(self.links.values(), live, domain)
         followed = choose_followed(live, domain, others_count)
-        asked = add_home(followed, live, domain)
-        self._ask(asked)
-        if not is_enough(followed, 1 + others_count):
-            self._knocker.knock(asked)
+        polled = add_own_domain(followed, live, domain)
+        self._poll_followed(polled)
+        if not follows_enough(followed, 1 + others_count):
+            self._prober.probe_unfollowed(polled)
         else:
-            self._knocker.knock_at_home(asked)
+            self._prober.probe_own_domain(polled)
 
-    def _choose_home(self) -> list[HubLink]:
-        """Choose those at home if others are none the wiser, and bytes are saved."""
+    def _choose_own_domain(self) -> list[HubLink]:
+        """Return the own failure domain's control instances, if they suffice."""
         domain = self._failure_domain
         if all(link.failure_domain == domain for link in self.links.values()):
             return []
-        return self._home.choose(self.live())
+        return self._own_domain_choice.choose(self.live())
 
-    def _ask(self, followed: list[HubLink]) -> None:
+    def _poll_followed(self, followed: list[HubLink]) -> None:
         self._followed = followed
-        self._routes_teller = choose_routes_teller(followed, self.routes_version)
+        self._routes_source = choose_routes_source(followed, self.routes_version)
         for link in followed:
             self._send_poll(link, wants_reply=True)
 
-    def _leave_all_but(self, followed: list[HubLink]) -> None:
+    def _unfollow_others(self, followed: list[HubLink]) -> None:
         for link in self.links.values():
-            was_asked = link.seen_index > 0 or link.polled_s > float("-inf")
-            if was_asked and not link.is_left and link not in followed:
-                link.leave()
+            was_polled = link.seen_index > 0 or link.polled_s > float("-inf")
+            if was_polled and not link.is_unfollowed and link not in followed:
+                link.unfollow()
                 self._acknowledge(link)
 
-    def _note_lost(self) -> None:
+    def _mark_unreachable(self) -> None:
         for link in self.links.values():
-            # One that is not asked any more says nothing, and is not lost by that.
-            unanswered_s = self._now_s() - link.unanswered_s
-            if link.in_sight and unanswered_s > _HUB_LEASE_S:
-                link.in_sight = False
+            # An instance without pending requests does not count as lost.
+            unanswered_for_s = self._now_s() - link.unanswered_since_s
+            if link.is_reachable and unanswered_for_s > _CONTROL_LEASE_S:
+                link.is_reachable = False
                 log.info(
                     Event.CONTROL_OUT_OF_SIGHT,
                     address=link.address.hex(),
                     failure_domain=link.failure_domain,
-                    silent_s=round(self._now_s() - link.heard_s, 3),
+                    silent_s=round(self._now_s() - link.last_reply_s, 3),
                 )
 
-    def _knock_at(self, link: HubLink) -> None:
-        """Ask whether a control instance is there.
+    def _send_probe(self, link: HubLink) -> None:
+        """Send a probe to a control instance.
 
-        An entry instance asks one of those that are for the rest: of three that told it
-        of all runs and routes at once, two would take its link in vain. One of its own
-        failure domain tells it all the same.
+        Only control instances of the own failure domain answer a probe with their full
+        state, so that an entry instance does not receive it several times.
         """
-        link.knocked_s = self._now_s()
+        link.probed_s = self._now_s()
         self._send_poll(link, wants_reply=True, probe=not self._is_control)
 
     def _send_poll(self, link: HubLink, wants_reply: bool, probe: bool = False) -> None:
         if wants_reply:
-            link.asked_s = self._now_s()
-            link.unanswered_s = min(link.unanswered_s, link.asked_s)
+            link.requested_s = self._now_s()
+            link.unanswered_since_s = min(link.unanswered_since_s, link.requested_s)
             if not probe:
-                link.polled_s = link.asked_s
-                link.is_left = False
-        teller = self._routes_teller
+                link.polled_s = link.requested_s
+                link.is_unfollowed = False
+        routes_source = self._routes_source
         poll = Poll(
             hub_incarnation=link.incarnation,
             seen_index=link.seen_index,
@@ -234,7 +235,7 @@
             wants_reply=wants_reply,
             presence=self.presence,
             probe=probe,
-            without_routes=teller is not None and teller is not link,
+            without_routes=routes_source is not None and routes_source is not link,
             evacuations_version=self._evacuations.known_version,
             takes_numbers=self._is_control,
             dispatchers_digest=link.dispatchers_digest,
@@ -242,30 +243,28 @@
         self._send(RegistryMessage(poll=poll), link.address)
 
     def _acknowledge(self, link: HubLink) -> None:
-        """Say what arrived; to one that is left, that nothing more needs to."""
-        self._send_poll(link, wants_reply=False, probe=link.is_left)
+        """Acknowledge received changes; unsubscribe from an unfollowed instance."""
+        self._send_poll(link, wants_reply=False, probe=link.is_unfollowed)
 
     def tell(self, sightings: list[Sighting]) -> None:
-        """Tell the followed control instances what is seen of runs.
+        """Send sightings of runs to the followed control instances.
 
         Parameters
         ----------
         sightings : list of Sighting
-            Runs that flows wait for, or that have answered while others wait.
+            Runs that flows wait for, or that answered while other flows wait.
         """
         message = RegistryMessage(sightings=Sightings(runs=sightings))
         for link in self._followed:
             self._send(message, link.address)
 
-    # -- what arrives -------------------------------------------------------------
-
     def on_delta(self, delta: Delta, source: bytes) -> None:
-        """Take what changed at a control instance, and acknowledge it.
+        """Apply and acknowledge changes of a control instance.
 
         Parameters
         ----------
         delta : Delta
-            The changes.
+            Changes and header fields.
         source : bytes
             Packed address of the sender.
         """
@@ -273,35 +272,35 @@
         if link is None:
             self._counters["registry_stranger"] += 1
             return
-        link.note_heard(delta, self._now_s())
+        link.record_message(delta, self._now_s())
         for control in delta.controls:
             self.meet(control.address, control.failure_domain)
         if delta.HasField("hub"):
-            link.note_hub(delta.hub, self._now_s())
-            link.controls = frozenset(one.address for one in delta.controls)
+            link.update_state(delta.hub, self._now_s())
+            link.controls = frozenset(control.address for control in delta.controls)
         if not (delta.runs or delta.reporting or delta.complete):
             self._on_greeting(link)
             return
         if delta.after_index > link.seen_index:
-            # Something before it was lost; it comes again.
+            # An earlier message was lost and will be resent.
             self._counters["registry_gap"] += 1
             return
         for run in delta.runs:
-            self._take_run(link, run)
+            self._receive_run(link, run)
         for number, sequence in zip(delta.reporting, delta.sequences, strict=False):
             self.on_number(number, sequence, link.reporting)
-        if link.take(delta):
+        if link.advance(delta):
             self._acknowledge(link)
-        if delta.complete and not link.is_left:
+        if delta.complete and not link.is_unfollowed:
             link.complete = True
 
     def _on_greeting(self, link: HubLink) -> None:
-        """Ask a control instance that is there, unless one as good tells already."""
+        """Request full state, unless an equivalent instance already sends it."""
         now_s = self._now_s()
-        if needs_asking(link, self.live(), now_s, self.routes_version):
+        if needs_full_poll(link, self.live(), now_s, self.routes_version):
             self._send_poll(link, wants_reply=True)
 
-    def _take_run(self, link: HubLink, run: BackendRun) -> None:
+    def _receive_run(self, link: HubLink, run: BackendRun) -> None:
         if run.ended or run.silent:
             link.reporting.pop(run.id, None)
         else:
@@ -309,24 +308,24 @@
         self._on_run(run)
 
     def on_chunk(self, chunk: RoutesChunk, source: bytes) -> None:
-        """Take a part of a routing table; the whole is handed on when it is there.
+        """Store a part of a routing table; pass the table on when it is complete.
 
         Parameters
         ----------
         chunk : RoutesChunk
-            The part.
+            Part of the table.
         source : bytes
             Packed address of the sender.
         """
         link = self.links.get(source)
         if link is None or chunk.version <= self.routes_version:
             return
-        # Before the table can be whole: nothing is placed without knowing them.
+        # Applied before the table, so that no flow is placed without evacuations.
         self._evacuations.take(chunk.evacuations)
         if not 0 <= chunk.number < chunk.count:
             self._counters["registry_unreadable"] += 1
             return
-        table = self._arriving.add(chunk)
+        table = self._incoming_table.add(chunk)
         if table is None:
             return
         self.routes_version = table.version
@@ -334,12 +333,12 @@
         self._acknowledge(link)
 
     def on_evacuations(self, evacuations: Evacuations, source: bytes) -> None:
-        """Take the evacuated failure domains, and acknowledge them.
+        """Store and acknowledge the evacuated failure domains.
 
         Parameters
         ----------
         evacuations : Evacuations
-            All of them.
+            All evacuations in force.
         source : bytes
             Packed address of the sender.
         """
@@ -349,50 +348,50 @@
         self._evacuations.take(evacuations)
         self._acknowledge(link)
 
-    # -- what is known ------------------------------------------------------------
-
     def is_complete(self) -> bool:
-        """Tell whether some control instance has said all that can be known.
+        """Return whether a reachable control instance has sent its full state.
 
         Returns
         -------
         bool
-            Whether one that knows every backend server has told them all.
+            Whether one that knows every backend server has sent them all.
         """
         return any(link.settled and link.complete for link in self.live())
 
     def domain_view(self, since_s: float) -> DomainView | None:
-        """Tell who else serves in this process's failure domain.
+        """Return counts of the other entry instances of the own failure domain.
 
         Parameters
         ----------
         since_s : float
-            What was told before that is not used.
+            Time before which received counts are ignored.
 
         Returns
         -------
         DomainView or None
-            None if nobody has told it since.
+            None if no counts were received since.
         """
-        links = [link for link in self.links.values() if link.domain_told_s >= since_s]
+        links = [
+            link for link in self.links.values() if link.domain_received_s >= since_s
+        ]
         return merge_counts(link.domain for link in links)
 
     def is_reporting(self, run_id: str, started_ms: int = START_NOT_TOLD) -> bool:
-        """Tell whether a run may be alive, as far as those in sight know.
+        """Return whether a run may be alive, according to reachable instances.
 
         Parameters
         ----------
         run_id : str
-            Its id.
+            Id of the run.
         started_ms : int, optional
-            When it started.
+            Start time of the run.
 
         Returns
         -------
         bool
-            True also when nobody in sight can know.
+            True also if no reachable control instance has the full state.
         """
-        knowing = [link for link in self.live() if link.settled and link.complete]
-        if not knowing:
+        informed = [link for link in self.live() if link.settled and link.complete]
+        if not informed:
             return True
-        return any(link.reporting.get(run_id) == started_ms for link in knowing)
+        return any(link.reporting.get(run_id) == started_ms for link in informed)
--- a/tests/registry/test_busy_control.py
+++ b/tests/registry/test_busy_control.py
@@ -6,16 +6,16 @@
 from tests.fakes import Clock, address
 from tests.registry.test_runs import INTERVAL_S, report
 
-#: Processor time of a control instance for each message that it sends, that it reads,
-#: and for each report, as measured in single calls.
+#: Processor time of a control instance for each message sent, each message read, and
+#: each report.
 SEND_S, READ_S, REPORT_S = 25e-6, 40e-6, 240e-6
 STEP_S = 0.01
 
 
 class BusyControl:
-    """A control instance with little processor time, and all its entry instances.
+    """A control instance with limited processor time, and its entry instances.
 
-    Messages that it has no time to read wait in its socket.
+    Unread messages wait in its inbox.
     """
 
     def __init__(self, run_count, entry_count, processor_share):
@@ -51,11 +51,11 @@
         self.debt_s += SEND_S
         self.sent_bytes += len(data)
         self.sent_count += 1
-        arrival = (self.clock.value_s + 0.001, self.sent_count, data, target)
-        heapq.heappush(self.wire, arrival)
+        delivery = (self.clock.value_s + 0.001, self.sent_count, data, target)
+        heapq.heappush(self.wire, delivery)
 
-    def play(self, for_s):
-        for step in range(round(for_s / STEP_S)):
+    def advance(self, duration_s):
+        for step in range(round(duration_s / STEP_S)):
             self.clock.value_s += STEP_S
             for number, entry in enumerate(self.entries.values()):
                 if (step + number) % 40 == 0:
@@ -64,14 +64,14 @@
             spent_s = self.reports_per_step * REPORT_S
             idle_s = STEP_S * self.share
             self.debt_s = max(-idle_s, self.debt_s + spent_s - idle_s)
-            self.work()
+            self.process()
 
     def deliver(self):
         while self.wire and self.wire[0][0] <= self.clock.value_s:
             _, _, data, target = heapq.heappop(self.wire)
             self.entries[target].on_delta(decode_message(data).delta, self.address)
 
-    def work(self):
+    def process(self):
         if self.clock.value_s >= self.next_flush_s and self.debt_s < 0:
             self.hub.flush()
             self.next_flush_s = self.clock.value_s + 0.1
@@ -85,15 +85,10 @@
 
 
 class TestBusyControl(unittest.TestCase):
-    def test_all_are_told_though_there_is_little_time(self):
-        """A third of the fleet that is planned for, on a ninth of a processor's share.
-
-        With a message acknowledged each, and windows sent again each 0.15 s, 23 of 99
-        entry instances knew all after 15 s and 4,100 messages waited to be read; in
-        full size (3,000 runs, 297 instances, 0.645 of a core) 68 and 24,826.
-        """
+    def test_sends_full_state_to_all_with_limited_processor_time(self):
+        """Guards against a growing backlog of unread acknowledgements and resends."""
         control = BusyControl(1_000, 99, 0.13)
-        control.play(12.0)
+        control.advance(12.0)
         self.assertEqual(control.complete_count(), 99)
         self.assertLess(len(control.inbox), 100)
         content_bytes = sum(run.ByteSize() for run in control.runs.snapshot())
--- a/tests/registry/test_cut_off.py
+++ b/tests/registry/test_cut_off.py
@@ -7,40 +7,40 @@
 
 
 def link(number, domain, hears_leader=False):
-    """What is known of one control instance."""
+    """Return the link to one control instance."""
     return HubLink(address(number), domain, hears_leader=hears_leader)
 
 
 class TestIsCutOff(unittest.TestCase):
     def setUp(self):
-        self.known = [link(number, domain) for number, domain in enumerate("aabbcc")]
+        self.links = [link(number, domain) for number, domain in enumerate("aabbcc")]
 
-    def judge(self, live, known=None):
-        return is_cut_off(known or self.known, live, "a")
+    def judge(self, live, links=None):
+        return is_cut_off(links or self.links, live, "a")
 
-    def test_only_the_own_domain_in_sight(self):
-        """Two of six answer, and neither hears a leader."""
-        self.assertTrue(self.judge(self.known[:2]))
+    def test_cut_off_if_only_own_domain_is_reachable(self):
+        """Two of six control instances are reachable, and neither hears a leader."""
+        self.assertTrue(self.judge(self.links[:2]))
 
-    def test_nobody_in_sight(self):
-        """With all control instances gone the other domains may well be in reach."""
+    def test_not_cut_off_if_no_control_instance_is_reachable(self):
+        """Other domains may be reachable although all control instances are lost."""
         self.assertFalse(self.judge([]))
 
-    def test_another_domain_in_sight(self):
-        """An order may still come through it."""
-        self.assertFalse(self.judge(self.known[:3]))
+    def test_not_cut_off_if_another_domain_is_reachable(self):
+        """The other domain can still send evacuations."""
+        self.assertFalse(self.judge(self.links[:3]))
 
-    def test_leader_in_sight(self):
-        """A leader that is heard at home has more than half behind it."""
+    def test_not_cut_off_if_own_domain_hears_a_leader(self):
+        """A leader has the votes of a majority."""
         self.assertFalse(self.judge([link(0, "a", hears_leader=True)]))
 
-    def test_most_control_instances_at_home(self):
-        """Those of the own domain may agree among themselves, after an election."""
-        known = [link(number, domain) for number, domain in enumerate("aaab")]
-        self.assertFalse(self.judge(known[:3], known))
+    def test_not_cut_off_if_own_domain_holds_a_majority(self):
+        """The own domain can elect a leader by itself."""
+        links = [link(number, domain) for number, domain in enumerate("aaab")]
+        self.assertFalse(self.judge(links[:3], links))
 
-    def test_seen_within_the_lease_of_control_instances(self):
-        """In a cut between domains it is known after a second, and so is its end."""
+    def test_partition_is_detected_within_the_control_lease(self):
+        """The start and the end of a partition are each detected within a lease."""
         world = World(("a", "b", "c"))
         world.leaderless = {address(0)}
         world.step(8)
--- a/tests/registry/test_many_subscribers.py
+++ b/tests/registry/test_many_subscribers.py
@@ -33,7 +33,7 @@
         self.poll_all()
 
     def poll_all(self):
-        """Let every entry instance say that it has everything."""
+        """Let every entry instance acknowledge all changes."""
         poll = Poll(
             hub_incarnation=self.hub._incarnation,
             seen_index=self.table.changed_index,
@@ -43,19 +43,19 @@
             self.hub.on_poll(poll, entry)
         self.sent.clear()
 
-    def test_telling_one_change_looks_at_few_runs(self):
-        """It took 33 ms of processor time with a walk for each, and 0.7 ms since."""
+    def test_sending_one_change_scans_few_runs(self):
+        """Guards against a scan of all runs for each subscriber."""
         self.clock.value_s += 0.2
         self.table.report(report(1, sequence=2, draining=True))
         with mock.patch(
             "agatethread.registry._entries.last_index", side_effect=last_index
-        ) as looks:
+        ) as scan:
             self.hub.flush()
         self.assertEqual(len(self.sent), 297)
-        self.assertLess(looks.call_count, 10)
+        self.assertLess(scan.call_count, 10)
 
-    def test_changes_of_a_moment_are_told_in_one_round(self):
-        """A hundred runs that report at once are not told of a hundred times."""
+    def test_burst_of_changes_shares_one_round(self):
+        """A hundred simultaneous changes don't cause a hundred rounds."""
         self.clock.value_s += 0.2
         for number in range(1, 101):
             self.table.report(report(number, 2, number, draining=True))
@@ -63,16 +63,16 @@
         self.assertLess(len(self.sent), 2 * 297)
         self.clock.value_s += 0.1
         self.hub.flush()
-        told = {
+        received = {
             run.id
             for message, target in self.sent
             if target == self.entries[0]
             for run in message.delta.runs
         }
-        self.assertEqual(len(told), 100)
+        self.assertEqual(len(received), 100)
 
-    def test_few_subscribers_are_told_at_once(self):
-        """A small fleet does not wait for the next round."""
+    def test_few_subscribers_receive_changes_at_once(self):
+        """With few subscribers, changes don't wait for the next round."""
         self.entries = self.entries[:7]
         self.hub._subscribers.clear()
         self.poll_all()
@@ -82,28 +82,24 @@
             self.hub.tell_soon()
             self.assertEqual(len(self.sent), 7 * number)
 
-    def test_round_is_bounded_and_the_next_goes_on(self):
-        """All that 3,000 runs are is told in rounds that leave time for the rest.
-
-        Told as fast as windows allow, a round had 2,376 messages, ten times a second,
-        and what was acknowledged was not read before it was sent again.
-        """
+    def test_limits_a_round_and_continues_in_the_next(self):
+        """Sending the full state to all leaves time to read acknowledgements."""
         for entry in self.entries:
             poll = Poll(failure_domain="a" if entry[-1] % 3 else "b")
             self.hub.on_poll(poll, entry)
-        told = {}
+        received = {}
         for _ in range(6):
             self.sent.clear()
             self.clock.value_s += 0.1
             self.hub.flush()
             self.assertLessEqual(len(self.sent), 600 + 8)
             for _, target in self.sent:
-                told[target] = told.get(target, 0) + 1
-        home = [entry for entry in self.entries if entry[-1] % 3]
-        self.assertTrue(set(home) <= set(told))
+                received[target] = received.get(target, 0) + 1
+        own_domain = [entry for entry in self.entries if entry[-1] % 3]
+        self.assertTrue(set(own_domain) <= set(received))
 
-    def test_entry_instances_that_say_nothing_are_asked_less_and_less(self):
-        """What is sent again in vain is sent again later."""
+    def test_resend_interval_grows_without_acknowledgement(self):
+        """Each resend without acknowledgement doubles the timeout up to a limit."""
         self.table.report(report(1, sequence=2, draining=True))
         times = []
         for _ in range(40):
@@ -117,8 +113,8 @@
         self.assertGreater(pauses[-1], 0.55)
         self.assertLess(max(pauses), 0.7)
 
-    def test_what_is_not_acknowledged_is_not_sent_at_each_round(self):
-        """Entry instances that say nothing get the same again each 0.15 s at most."""
+    def test_unacknowledged_changes_are_not_resent_in_each_round(self):
+        """Changes are resent only after the resend timeout."""
         self.clock.value_s += 0.2
         self.table.report(report(1, sequence=2, draining=True))
         for _ in range(20):
--- a/tests/registry/test_restarts.py
+++ b/tests/registry/test_restarts.py
@@ -15,64 +15,64 @@
 
 
 class TestRestarts(unittest.TestCase):
-    """A backend server that starts again under its id."""
+    """A backend server that restarts under its id."""
 
     def setUp(self):
         self.clock = Clock()
         self.table = RunTable(INTERVAL_S, self.clock)
 
-    def known(self):
-        """Start time, sequence number and states of run i-1."""
+    def run_state(self):
+        """Return start time, sequence and states of run i-1."""
         run = self.table.find("i-1")
         return run.started_ms, run.sequence, run.draining, run.ended
 
-    def test_next_start_is_taken_at_once(self):
-        """The first report of a new start counts, though its count starts anew."""
+    def test_accepts_later_start_at_once(self):
+        """A lower sequence is accepted with a later start."""
         self.table.report(report(sequence=50, started_ms=1_000, draining=True))
         self.clock.value_s += 0.01
         self.assertTrue(self.table.report(report(sequence=1, started_ms=2_000)))
-        self.assertEqual(self.known(), (2_000, 1, False, False))
+        self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
-    def test_late_report_of_the_start_before_changes_nothing(self):
-        """An older start is stale, however high its sequence number."""
+    def test_ignores_report_of_earlier_start(self):
+        """A report of an earlier start is stale, however high its sequence."""
         self.table.report(report(sequence=1, started_ms=2_000))
         late = report(sequence=99, started_ms=1_000, draining=True)
         self.assertFalse(self.table.report(late))
-        self.assertEqual(self.known(), (2_000, 1, False, False))
+        self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
-    def test_start_after_an_end_is_taken(self):
-        """An id whose run has ended may come back with a later start."""
+    def test_accepts_start_after_end(self):
+        """An id whose run has ended may start again."""
         self.table.report(report(sequence=5, started_ms=1_000, draining=True))
         self.table.leave("i-1")
         self.assertTrue(self.table.report(report(sequence=1, started_ms=2_000)))
-        self.assertEqual(self.known(), (2_000, 1, False, False))
+        self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
-    def test_late_end_of_the_start_before_ends_nothing(self):
-        """The end of an earlier start, named or not, leaves the working run alone."""
+    def test_ignores_end_of_earlier_start(self):
+        """The end of an earlier start, with or without its time, ends no later run."""
         self.table.report(report(sequence=1, started_ms=2_000))
         self.assertFalse(self.table.leave("i-1", 1_000))
         with self.assertRaises(ReportRefusedError):
             self.table.leave("i-1")
-        self.assertEqual(self.known(), (2_000, 1, False, False))
+        self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
-    def test_end_is_taken_again(self):
-        """An end whose acknowledgement was lost is acknowledged once more."""
+    def test_accepts_repeated_end(self):
+        """An end whose acknowledgement was lost may be sent again."""
         self.table.report(report(sequence=1, started_ms=2_000, draining=True))
         self.assertTrue(self.table.leave("i-1"))
         self.assertFalse(self.table.leave("i-1"))
         self.assertFalse(self.table.leave("i-1", 2_000))
 
-    def test_next_start_comes_at_another_address(self):
-        """The old address is free for others, and late words of it are nothing."""
+    def test_accepts_later_start_at_another_address(self):
+        """The earlier address is free, and late reports of it are ignored."""
         self.table.report(report(sequence=5, started_ms=1_000, place=1))
         self.table.report(report(sequence=1, started_ms=2_000, place=2))
         self.assertTrue(self.table.report(report(number=2, place=1, started_ms=1_500)))
         self.table.report(report(sequence=6, started_ms=1_000, place=1))
         self.assertFalse(self.table.find("i-2").ended)
-        self.assertEqual(self.known(), (2_000, 1, False, False))
+        self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
-    def test_other_id_that_started_later_takes_an_address_at_once(self):
-        """A late report of the crashed run does not keep its successor out."""
+    def test_later_start_of_other_id_replaces_address_holder_at_once(self):
+        """A late report of the crashed run does not displace its successor."""
         self.table.report(report(number=1, sequence=18, started_ms=1_000))
         self.clock.value_s += 0.01
         self.assertTrue(self.table.report(report(number=2, started_ms=2_000)))
@@ -82,47 +82,47 @@
         self.assertFalse(self.table.find("i-2").ended)
         self.assertTrue(self.table.find("i-1").ended)
 
-    def test_new_start_is_known_where_nobody_hears_it_any_more(self):
-        """That a later start exists tells that the earlier one is gone."""
+    def test_accepts_silent_later_start_from_another_instance(self):
+        """A later start replaces the earlier one even if it is silent."""
         self.table.report(report(sequence=50, started_ms=1_000))
         other = RunTable(INTERVAL_S, self.clock)
         other.report(report(sequence=1, started_ms=2_000))
-        told = other.snapshot()[0]
-        told.silent = True
-        self.assertTrue(self.table.take(told))
+        silent_run = other.snapshot()[0]
+        silent_run.silent = True
+        self.assertTrue(self.table.take(silent_run))
         self.assertTrue(self.table.find("i-1").silent)
-        self.assertEqual(self.known(), (2_000, 1, False, False))
+        self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
-    def test_end_told_by_another_instance_brings_what_was_said_before(self):
-        """A run that drained before it ended is known as drained everywhere."""
+    def test_end_from_another_instance_keeps_draining_state(self):
+        """A run that drained before its end is drained at every instance."""
         other = RunTable(INTERVAL_S, self.clock)
         self.table.report(report(sequence=1, started_ms=1_000))
         other.report(report(sequence=2, started_ms=1_000, draining=True))
         other.leave("i-1")
         self.assertTrue(self.table.take(other.snapshot()[0]))
-        self.assertEqual(self.known(), (1_000, 1, True, True))
+        self.assertEqual(self.run_state(), (1_000, 1, True, True))
 
-    def test_starts_survive_a_restart_of_control(self):
-        """Which start is the newest is among the hints on disk."""
+    def test_start_times_survive_restart_of_control_instance(self):
+        """The newest start of each id is stored in the hints on disk."""
         self.table.report(report(sequence=1, started_ms=2_000))
         with tempfile.TemporaryDirectory() as folder:
             save_hints(folder, self.table.snapshot())
             self.table = RunTable(INTERVAL_S, self.clock)
             self.table.remember(load_hints(folder).runs)
         self.table.report(report(sequence=99, started_ms=1_000, draining=True))
-        self.assertEqual(self.known(), (2_000, 1, False, False))
+        self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
 
 class TestOtherWriters(unittest.TestCase):
-    """Well-formed reports that no backend server of ours sends."""
+    """Well-formed reports of unknown senders."""
 
     def setUp(self):
         self.table = RunTable(INTERVAL_S, Clock())
         self.table.services = frozenset({"tab"})
         self.table.report(report(sequence=5, started_ms=1_000))
 
-    def test_reports_that_contradict_what_is_known_change_nothing(self):
-        """A good run stays as it is, whatever another writer says under its id."""
+    def test_rejects_reports_that_contradict_known_runs(self):
+        """A known run is unchanged by reports of another sender under its id."""
         before = self.table.snapshot()
         foreign = (
             {"sequence": 9, "service": "nonsense", "started_ms": 1_000},
@@ -138,51 +138,51 @@
                     self.table.report(report(**fields))
                 self.assertEqual(self.table.snapshot(), before)
 
-    def test_start_time_is_told_by_all_or_none(self):
-        """A new run that tells none is refused while a live run tells its own."""
-        untold = {"number": 9, "place": 9}
+    def test_rejects_missing_start_time_while_others_have_one(self):
+        """A run without a start time is accepted only if no live run has one."""
+        without_start = {"number": 9, "place": 9}
         with self.assertRaises(ReportRefusedError):
-            self.table.report(report(**untold))
+            self.table.report(report(**without_start))
         self.table.report(report(sequence=6, started_ms=1_000, draining=True))
         self.table.leave("i-1")
-        self.assertTrue(self.table.report(report(**untold)))
+        self.assertTrue(self.table.report(report(**without_start)))
         self.assertTrue(self.table.report(report(number=8, place=8)))
 
-    def test_run_that_tells_no_start_goes_once_most_others_tell_theirs(self):
-        """Coming before all others makes another writer's report no good one."""
+    def test_rejects_known_run_without_start_time_once_most_have_one(self):
+        """A run without a start time turns silent, although it reported first."""
         clock = Clock()
         table = RunTable(INTERVAL_S, clock)
-        untold = {"number": 9, "place": 9}
-        self.assertTrue(table.report(report(**untold)))
+        without_start = {"number": 9, "place": 9}
+        self.assertTrue(table.report(report(**without_start)))
         for number in (1, 2):
             table.report(report(number, place=number, started_ms=1_000))
         table.sweep()
         with self.assertRaises(ReportRefusedError):
-            table.report(report(sequence=2, draining=True, **untold))
+            table.report(report(sequence=2, draining=True, **without_start))
         self.assertEqual(table.find("i-9").sequence, 1)
         for sequence in range(2, 30):
             clock.value_s += 0.2
             for number in (1, 2):
-                told = {"place": number, "started_ms": 1_000}
-                table.report(report(number, sequence, **told))
+                fields = {"place": number, "started_ms": 1_000}
+                table.report(report(number, sequence, **fields))
             table.sweep()
         silent = [run.id for run in table.snapshot() if run.silent]
         self.assertEqual(silent, ["i-9"])
 
     @given(st.lists(st.tuples(st.booleans(), st.sampled_from(("", "silent", "ended")))))
-    def test_most_are_counted_among_the_live(self, kinds):
-        """Whether most tell their start is what a plain count of live runs says."""
+    def test_most_have_start_counts_live_runs_only(self, kinds):
+        """The result equals a plain count of live runs."""
         index = RunIndex()
-        for number, (tells, state) in enumerate(kinds, 1):
-            run = BackendRun(id=f"i-{number:x}", started_ms=1_000 * tells)
+        for number, (has_start, state) in enumerate(kinds, 1):
+            run = BackendRun(id=f"i-{number:x}", started_ms=1_000 * has_start)
             if state:
                 setattr(run, state, True)
             index.add(run)
-        live = [tells for tells, state in kinds if not state]
-        self.assertEqual(index.most_tell_starts(), sum(live) * 2 > len(live))
+        live = [has_start for has_start, state in kinds if not state]
+        self.assertEqual(index.most_have_start(), sum(live) * 2 > len(live))
 
-    def test_one_that_tells_its_start_takes_no_place_of_others(self):
-        """Where most tell none, they go on, and further ones are taken."""
+    def test_one_start_time_does_not_reject_runs_without(self):
+        """Runs without a start time are accepted while most have none."""
         table = RunTable(INTERVAL_S, Clock())
         for number in (1, 2):
             table.report(report(number, place=number))
@@ -192,15 +192,15 @@
         self.assertEqual(table.find("i-1").sequence, 2)
         self.assertTrue(table.report(report(4, place=4)))
 
-    def test_every_service_may_be_one_before_any_table(self):
-        """Without a routing table, backend servers are taken as they come."""
+    def test_accepts_any_service_before_first_table(self):
+        """Without a routing table, the configured services are unknown."""
         table = RunTable(INTERVAL_S, Clock())
         self.assertTrue(table.report(report(service="early")))
 
 
 @dataclass
 class Server:
-    """One id as it really is: what each start has said so far."""
+    """Actual state of the newest start of an id."""
 
     started_ms: int = 1_000
     sequence: int = 0
@@ -208,10 +208,10 @@
 
 
 class RestartMachine(RuleBasedStateMachine):
-    """Two control instances hear of restarts in any order; the oracle is a maximum.
+    """Two control instances receive restarts in any order; the oracle is a maximum.
 
-    Each message is kept and may be delivered late and again, to either instance. What
-    a table may hold of an id follows from the newest start of which it was told.
+    Each message may be delivered late and repeatedly, to either instance. The state of
+    an id in a table follows from the newest start that it received.
     """
 
     tables = st.integers(0, 1)
@@ -222,23 +222,23 @@
         self.clock = Clock()
         self.tables = [RunTable(INTERVAL_S, self.clock) for _ in range(2)]
         self.servers = {number: Server() for number in range(1, 4)}
-        self.said = []
-        #: Newest start told to each table of each id.
+        self.sent_reports = []
+        #: Newest start of each id that each table received.
         self.newest = [{}, {}]
-        #: Starts of which each table was told that they drain.
-        self.drains = [set(), set()]
-        #: Starts that each table has told the other whole, by id.
-        self.told = [{}, {}]
+        #: Starts that each table received as draining.
+        self.draining_starts = [set(), set()]
+        #: Starts that each table sent to the other in full, by id.
+        self.sent_starts = [{}, {}]
 
     @initialize()
     def start(self):
         for number in self.servers:
-            self.say(number)
+            self.send_report(number)
 
-    def say(self, number):
+    def send_report(self, number):
         server = self.servers[number]
         server.sequence += 1
-        self.said.append(
+        self.sent_reports.append(
             report(
                 number,
                 server.sequence,
@@ -250,64 +250,64 @@
 
     @rule(number=numbers)
     def report_again(self, number):
-        self.say(number)
+        self.send_report(number)
 
     @rule(number=numbers)
     def drain(self, number):
         self.servers[number].draining = True
-        self.say(number)
+        self.send_report(number)
 
     @rule(number=numbers, later_ms=st.integers(1, 5_000))
     def restart(self, number, later_ms):
-        old = self.servers[number]
-        self.servers[number] = Server(old.started_ms + later_ms)
-        self.say(number)
+        previous = self.servers[number]
+        self.servers[number] = Server(previous.started_ms + later_ms)
+        self.send_report(number)
 
     @rule(at=tables, data=st.data())
     def deliver(self, at, data):
-        one = data.draw(st.sampled_from(self.said))
-        self.tables[at].report(one)
-        self.note(at, one.id, one.started_ms, one.draining)
+        sent = data.draw(st.sampled_from(self.sent_reports))
+        self.tables[at].report(sent)
+        self.record_start(at, sent.id, sent.started_ms, sent.draining)
 
-    def note(self, at, run_id, started_ms, draining):
-        known = self.newest[at].get(run_id, 0)
-        self.newest[at][run_id] = max(known, started_ms)
+    def record_start(self, at, run_id, started_ms, draining):
+        newest_ms = self.newest[at].get(run_id, 0)
+        self.newest[at][run_id] = max(newest_ms, started_ms)
         if draining:
-            self.drains[at].add((run_id, started_ms))
+            self.draining_starts[at].add((run_id, started_ms))
 
     @rule(source=tables)
     def exchange(self, source):
         for run in self.tables[source].snapshot():
             self.tables[1 - source].take(run)
-            self.told[source][run.id] = run.started_ms
+            self.sent_starts[source][run.id] = run.started_ms
             if not run.silent:
-                self.note(1 - source, run.id, run.started_ms, run.draining)
+                self.record_start(1 - source, run.id, run.started_ms, run.draining)
             elif run.started_ms > self.newest[1 - source].get(run.id, 2**60):
-                self.note(1 - source, run.id, run.started_ms, run.draining)
+                self.record_start(1 - source, run.id, run.started_ms, run.draining)
 
     @rule(source=tables)
     def exchange_numbers(self, source):
-        """What was told whole goes on by number; the sequence never goes back."""
-        told, other = self.told[source], self.tables[1 - source]
+        """Numbered reports continue full ones; the sequence never decreases."""
+        starts, other = self.sent_starts[source], self.tables[1 - source]
         for run in self.tables[source].snapshot():
-            if run.ended or run.silent or told.get(run.id) != run.started_ms:
+            if run.ended or run.silent or starts.get(run.id) != run.started_ms:
                 continue
             before = other.find(run.id)
-            known = (before.started_ms, before.sequence) if before else None
-            other.take_number(run.number, run.sequence, told)
-            if known is not None:
+            previous = (before.started_ms, before.sequence) if before else None
+            other.take_number(run.number, run.sequence, starts)
+            if previous is not None:
                 after = other.find(run.id)
-                assert (after.started_ms, after.sequence) >= known
-                assert after.started_ms == known[0]
+                assert (after.started_ms, after.sequence) >= previous
+                assert after.started_ms == previous[0]
 
     @rule(at=tables, number=numbers)
     def late_end(self, at, number):
-        """An end that does not name its start, as it was sent for any of them."""
+        """Send an end without a start time."""
         try:
             self.tables[at].leave(f"i-{number:x}")
         except ReportRefusedError:
             return
-        # Taken: the run had said here that it drains, or was not known at all.
+        # Accepted: the run was draining here, or unknown.
         run = self.tables[at].find(f"i-{number:x}")
         assert run.draining or not run.started_ms
 
@@ -318,19 +318,21 @@
             table.sweep()
 
     @invariant()
-    def newest_start_is_known(self):
+    def newest_start_is_stored(self):
         for table, newest in zip(self.tables, self.newest, strict=True):
             for run_id, started_ms in newest.items():
                 assert table.find(run_id).started_ms == started_ms
 
     @invariant()
-    def states_are_those_of_the_start(self):
-        for table, drains in zip(self.tables, self.drains, strict=True):
+    def states_belong_to_the_start(self):
+        for table, draining_starts in zip(
+            self.tables, self.draining_starts, strict=True
+        ):
             for run in table.snapshot():
                 if run.draining:
-                    assert (run.id, run.started_ms) in drains
+                    assert (run.id, run.started_ms) in draining_starts
                 if run.ended and run.started_ms:
-                    assert run.draining, "ended, though it never said that it drains"
+                    assert run.draining, "run has ended without draining"
 
 
 TestRestartMachine = RestartMachine.TestCase
--- a/tests/registry/test_runs.py
+++ b/tests/registry/test_runs.py
@@ -21,7 +21,7 @@
 
 
 def report(number=1, sequence=1, place=1, **fields):
-    """Report of run number N at address number `place`."""
+    """Return a report of a numbered run at address number `place`."""
     values = {
         "id": f"i-{number:x}",
         "number": number,
@@ -39,23 +39,23 @@
         self.clock = Clock()
         self.table = RunTable(INTERVAL_S, self.clock)
 
-    def run_of(self, number=1):
+    def get_run(self, number=1):
         return self.table.find(f"i-{number:x}")
 
-    def pass_time(self, seconds):
-        """Let time pass as a process that runs all the while sees it."""
+    def advance(self, seconds):
+        """Advance the clock with regular sweeps."""
         for _ in range(int(seconds * 5)):
             self.clock.value_s += 0.2
             self.table.sweep()
 
-    def test_late_report_changes_nothing(self):
-        """A report that was overtaken by a later one of its run is ignored."""
+    def test_ignores_report_with_older_sequence(self):
+        """A late report does not change the run."""
         self.table.report(report(sequence=5, draining=True))
         self.assertFalse(self.table.report(report(sequence=4)))
-        self.assertTrue(self.run_of().draining)
+        self.assertTrue(self.get_run().draining)
 
-    def test_run_that_turns_cold_is_told(self):
-        """It may while it lives; that it goes on warming up is no news."""
+    def test_longer_warm_up_is_a_change(self):
+        """A run may turn cold again; a shrinking warm-up time is no change."""
         self.table.report(report(sequence=1))
         before = self.table.changed_index
         self.assertTrue(self.table.report(report(sequence=2, warm_up_s=2.0)))
@@ -63,66 +63,66 @@
         self.assertFalse(self.table.report(report(sequence=3, warm_up_s=0.8)))
         self.assertFalse(self.table.report(report(sequence=4)))
 
-    def test_draining_is_never_taken_back(self):
-        """A run that once asked for no more work stays so."""
+    def test_draining_is_never_reverted(self):
+        """A draining run stays draining."""
         self.table.report(report(sequence=1, draining=True))
         self.table.report(report(sequence=2, draining=False))
-        self.assertTrue(self.run_of().draining)
+        self.assertTrue(self.get_run().draining)
 
     def test_ended_run_stays_ended(self):
-        """No report revives a run that said that it had ended."""
+        """A later report does not revive an ended run."""
         self.table.report(report(sequence=1))
         self.assertTrue(self.table.leave("i-1"))
         self.assertFalse(self.table.report(report(sequence=9)))
-        self.assertTrue(self.run_of().ended)
+        self.assertTrue(self.get_run().ended)
 
-    def test_end_of_unknown_run_is_remembered(self):
-        """A run whose end is heard of first is not taken for a new one."""
+    def test_stores_end_of_unknown_run(self):
+        """A report after the end does not start a new run."""
         self.table.leave("i-1")
         self.assertFalse(self.table.report(report(sequence=3)))
-        self.assertTrue(self.run_of().ended)
+        self.assertTrue(self.get_run().ended)
 
-    def test_delayed_report_does_not_displace_the_holder(self):
-        """A report of a crashed run that comes late does not take the address."""
+    def test_late_report_does_not_displace_address_holder(self):
+        """A late report of a crashed run does not take over the address."""
         self.table.report(report(number=2, sequence=7))
         self.clock.value_s += 0.5
         self.assertFalse(self.table.report(report(number=1, sequence=40)))
-        self.assertIsNone(self.run_of(1))
-        self.assertFalse(self.run_of(2).ended)
+        self.assertIsNone(self.get_run(1))
+        self.assertFalse(self.get_run(2).ended)
 
-    def test_successor_takes_the_address_of_a_silent_run(self):
-        """A run that no longer reports gives way to a new one at its address."""
+    def test_new_run_takes_over_address_without_recent_report(self):
+        """A run without recent reports ends when another one uses its address."""
         self.table.report(report(number=1, sequence=7))
-        self.pass_time(2.0)
+        self.advance(2.0)
         self.assertTrue(self.table.report(report(number=2, sequence=1)))
-        self.assertTrue(self.run_of(1).ended)
-        self.assertFalse(self.run_of(2).ended)
+        self.assertTrue(self.get_run(1).ended)
+        self.assertFalse(self.get_run(2).ended)
 
-    def test_silent_run_gets_no_work_and_may_come_back(self):
-        """A run without reports is marked, and unmarked by its next report."""
+    def test_run_is_silent_until_next_report(self):
+        """A run without reports is marked as silent until its next report."""
         self.table.report(report(sequence=1))
-        self.pass_time(5.0)
-        self.assertTrue(self.run_of().silent)
+        self.advance(5.0)
+        self.assertTrue(self.get_run().silent)
         self.assertTrue(self.table.report(report(sequence=2)))
-        self.assertFalse(self.run_of().silent)
+        self.assertFalse(self.get_run().silent)
 
-    def test_pause_of_this_process_blames_nobody(self):
-        """After standing still it gives every run the time to report again."""
+    def test_suspension_of_process_marks_no_run_silent(self):
+        """After a suspension, each run has the full time to report again."""
         self.table.report(report(sequence=1))
         self.clock.value_s += 30.0
         self.table.sweep()
-        self.assertFalse(self.run_of().silent)
+        self.assertFalse(self.get_run().silent)
 
-    def test_silence_elsewhere_is_not_taken_over(self):
-        """That another control instance hears nothing of a run says nothing here."""
+    def test_ignores_silence_at_another_instance(self):
+        """A run that reports here is not silent."""
         self.table.report(report(sequence=1))
         other = self.table.snapshot()[0]
         other.sequence, other.silent = 9, True
         self.assertFalse(self.table.take(other))
-        self.assertFalse(self.run_of().silent)
+        self.assertFalse(self.get_run().silent)
 
-    def test_changes_are_listed_after_an_index(self):
-        """A receiver gets what changed since; control instances reports, too."""
+    def test_returns_changes_after_index(self):
+        """Reports without a change are included on request."""
         self.table.report(report(number=1, place=1))
         seen = self.table.index
         self.table.report(report(number=2, place=2))
@@ -132,27 +132,27 @@
         self.assertEqual(changes, ["i-2"])
         self.assertEqual(reports, ["i-2", "i-1"])
 
-    def test_knowledge_survives_a_restart(self):
-        """What was saved is known after a restart, also what has ended."""
+    def test_runs_survive_restart(self):
+        """Saved runs are restored after a restart, including ended ones."""
         self.table.report(report(number=1, place=1, draining=True))
         self.table.report(report(number=2, place=2))
         self.table.leave("i-2")
         with tempfile.TemporaryDirectory() as folder:
             save_hints(folder, self.table.snapshot())
-            fresh = RunTable(INTERVAL_S, self.clock)
-            fresh.remember(load_hints(folder).runs)
-        self.assertTrue(fresh.find("i-1").draining)
-        self.assertFalse(fresh.report(report(number=2, place=2, sequence=9)))
+            restored = RunTable(INTERVAL_S, self.clock)
+            restored.remember(load_hints(folder).runs)
+        self.assertTrue(restored.find("i-1").draining)
+        self.assertFalse(restored.report(report(number=2, place=2, sequence=9)))
 
-    def test_entry_instances_survive_a_restart(self):
-        """Who was told of the runs is kept beside them."""
+    def test_entry_instances_survive_restart(self):
+        """Known entry instances are saved with the runs."""
         with tempfile.TemporaryDirectory() as folder:
             entries = (KnownEntry(address(7), "a"), KnownEntry(address(8), "b"))
             save_hints(folder, [], entries)
             self.assertEqual(load_hints(folder).entries, entries)
 
-    def test_torn_file_is_passed_over(self):
-        """A file that is not whole is no reason not to start."""
+    def test_ignores_damaged_hints_file(self):
+        """A damaged file does not prevent a start."""
         with tempfile.TemporaryDirectory() as folder:
             save_hints(folder, [])
             path = Path(folder) / "registry"
@@ -162,7 +162,7 @@
 
 
 class RunMachine(RuleBasedStateMachine):
-    """Reports in any order, directly and through another table; the oracle is a set."""
+    """Reports in any order, direct or through another table; the oracle is a set."""
 
     numbers = st.integers(1, 4)
 
@@ -202,19 +202,21 @@
             table.sweep()
 
     @invariant()
-    def states_only_go_forward(self):
+    def states_only_advance(self):
         for table, draining, ended in zip(
             self.tables, self.draining, self.ended, strict=True
         ):
-            assert all(table.find(one).draining for one in draining)
-            assert all(table.find(one).ended for one in ended)
+            assert all(table.find(run_id).draining for run_id in draining)
+            assert all(table.find(run_id).ended for run_id in ended)
 
     @invariant()
-    def changes_are_those_that_a_walk_over_all_runs_finds(self):
+    def changes_equal_those_of_a_full_scan(self):
         for table in self.tables:
             entries = list(table._entries)
             for with_reports in (False, True):
-                last = {one.run.id: last_index(one, with_reports) for one in entries}
+                last = {
+                    entry.run.id: last_index(entry, with_reports) for entry in entries
+                }
                 for after in range(table.index + 1):
                     newer = [(index, run) for run, index in last.items()]
                     expected = sorted(pair for pair in newer if pair[0] > after)
--- a/tests/registry/test_spreading.py
+++ b/tests/registry/test_spreading.py
@@ -19,17 +19,17 @@
 
 
 class TestSpreading(unittest.TestCase):
-    def test_report_reaches_everyone(self):
-        """A report to one control instance is known to the others and to entries."""
+    def test_report_reaches_all_instances(self):
+        """A report reaches the other control instances and the entry instance."""
         world = World(("a", "b", "c"))
         world.step(5)
         world.table(2).report(report())
         world.step(10)
-        self.assertIn("i-1", world.told())
+        self.assertIn("i-1", world.received_runs())
         self.assertIsNotNone(world.table(0).find("i-1"))
 
-    def test_nothing_is_lost_on_a_lossy_network(self):
-        """With a third of all messages lost, every change arrives in the end."""
+    def test_all_changes_arrive_on_a_lossy_network(self):
+        """With a third of all messages lost, every change arrives eventually."""
         world = World()
         world.loss = 0.33
         world.step(10)
@@ -38,12 +38,12 @@
             world.table(number % 2).leave(f"i-{number - 3:x}") if number > 3 else None
             world.step()
         world.step(60)
-        ended = {run.id for run in world.told().values() if run.ended}
-        self.assertEqual(len(world.told()), 59)
+        ended = {run.id for run in world.received_runs().values() if run.ended}
+        self.assertEqual(len(world.received_runs()), 59)
         self.assertEqual(ended, {f"i-{number:x}" for number in range(1, 57)})
 
-    def test_drain_is_known_when_its_taker_dies(self):
-        """What was acknowledged is known elsewhere before the acknowledgement."""
+    def test_drain_survives_loss_of_receiving_instance(self):
+        """A drain is acknowledged only after other instances have it."""
         world = World()
         world.step(5)
         world.table(0).report(report(sequence=1))
@@ -58,11 +58,11 @@
 
         self.assertTrue(asyncio.run(drain()))
         world.cut = {address(0)}
-        self.assertTrue(world.told()["i-1"].draining)
+        self.assertTrue(world.received_runs()["i-1"].draining)
         self.assertTrue(world.table(1).find("i-1").draining)
 
-    def test_spread_reports_that_somebody_does_not_know(self):
-        """A subscriber that can't be reached makes the wait end without success."""
+    def test_spread_fails_with_unreachable_subscriber(self):
+        """The wait for an unreachable subscriber ends with the timeout."""
         world = World()
         world.step(5)
         world.cut = {world.entry_address}
@@ -73,8 +73,8 @@
 
         self.assertFalse(asyncio.run(drain()))
 
-    def test_restarted_hub_is_followed_anew(self):
-        """An entry instance reads a restarted control instance from the start."""
+    def test_restarted_control_instance_is_read_from_the_start(self):
+        """The state from before the restart is discarded."""
         world = World(("a",))
         world.step(5)
         world.table(0).report(report(number=1, place=1))
@@ -82,11 +82,11 @@
         world.start_hub(0, "a", [address(0)])
         world.table(0).report(report(number=2, place=2))
         world.step(10)
-        self.assertIn("i-2", world.told())
+        self.assertIn("i-2", world.received_runs())
         self.assertFalse(world.entry.is_reporting("i-1"))
 
-    def test_start_is_reporting_only_where_it_is_heard(self):
-        """One that hears the earlier start of an id does not vouch for the later."""
+    def test_earlier_start_does_not_count_as_later_start(self):
+        """Whether a run is reporting is decided for each start."""
         world = World()
         world.step(5)
         world.table(0).report(report(started_ms=1_000))
@@ -98,16 +98,16 @@
         self.assertTrue(world.entry.is_reporting("i-1", 2_000))
         self.assertFalse(world.entry.is_reporting("i-1", 1_000))
 
-    def test_silence_of_all_control_says_nothing(self):
-        """Without any control instance in sight every run may be alive."""
+    def test_runs_may_be_alive_without_control_instances(self):
+        """No run counts as lost while no control instance is reachable."""
         world = World()
         world.step(5)
         world.cut = set(world.hubs)
         world.step(20)
-        self.assertTrue(world.entry.is_reporting("i-never-heard-of"))
+        self.assertTrue(world.entry.is_reporting("i-unknown"))
 
-    def test_follows_its_own_failure_domain_and_another(self):
-        """The first that is followed is its own domain's, the next another's."""
+    def test_follows_own_and_another_failure_domain(self):
+        """The first followed instance is of the own domain, the second is not."""
         world = World(("b", "a", "a", "c"))
         world.step(20)
         followed = choose_followed(world.entry.live(), "a")
@@ -115,8 +115,8 @@
         self.assertEqual(domains[0], "a")
         self.assertNotEqual(domains[1], "a")
 
-    def test_follows_one_that_hears_a_leader(self):
-        """Of six, split unevenly, it finds one on the side where tables are agreed."""
+    def test_follows_instance_that_hears_a_leader(self):
+        """During a partition, tables arrive from the side with a leader."""
         world = World(("a", "b", "b", "c", "c", "a"))
         world.step(15)
         followed = [link.address for link in choose_followed(world.entry.live(), "a")]
@@ -128,8 +128,8 @@
         world.step(15)
         self.assertEqual(world.entry.routes_version, 9)
 
-    def test_log_tells_once_that_a_control_instance_is_lost_and_regained(self):
-        """One line when it stops answering, one when it answers again, none else."""
+    def test_logs_loss_and_return_of_control_instance_once(self):
+        """One entry when it stops answering, and one when it answers again."""
         with TestHandler() as handler:
             world = World(("a", "b"))
             world.step(100)
@@ -142,28 +142,28 @@
             for record in handler.records
             if record.kwargs.get("address") == address(1).hex()
         ]
-        lost, regained = Event.CONTROL_OUT_OF_SIGHT, Event.CONTROL_IN_SIGHT
-        # The entry instance and the other control instance each say so.
-        self.assertEqual(events.count(lost), 2)
-        self.assertEqual(events.count(regained), 4)
+        lost_event, reachable_event = Event.CONTROL_OUT_OF_SIGHT, Event.CONTROL_IN_SIGHT
+        # Logged by the entry instance and by the other control instance.
+        self.assertEqual(events.count(lost_event), 2)
+        self.assertEqual(events.count(reachable_event), 4)
 
-    def test_subscriber_that_has_everything_costs_no_search(self):
-        """An idle subscriber is answered without looking through all runs."""
+    def test_idle_subscriber_causes_no_scan(self):
+        """A poll without pending changes is answered without a scan of the runs."""
         world = World(("a",))
         for number in range(1, 300):
             world.table(0).report(report(number, place=number))
         world.step(60)
-        self.assertEqual(len(world.told()), 299)
+        self.assertEqual(len(world.received_runs()), 299)
         with mock.patch.object(
             RunTable, "changes_after", side_effect=AssertionError
-        ) as search:
+        ) as scan:
             world.entry.poll()
             world.deliver()
             world.hub(0).flush()
-        search.assert_not_called()
+        scan.assert_not_called()
 
     def test_idle_traffic_is_bounded(self):
-        """With nothing new, an entry instance and its hubs say little."""
+        """Without changes, only polls and empty replies are sent."""
         world = World()
         world.step(20)
         before = world.sent_bytes
@@ -171,19 +171,16 @@
         self.assertLess((world.sent_bytes - before) / 10.0, 2_000)
 
     @given(st.binary(max_size=200))
-    def test_any_datagram_is_read_or_refused(self, data):
-        """Bytes of any kind give a message with a body or a typed error."""
+    def test_decodes_or_rejects_any_datagram(self, data):
+        """Arbitrary bytes yield a message with a body or a `DatagramError`."""
         try:
             message = decode_message(data)
         except DatagramError:
             return
         self.assertIsNotNone(message.WhichOneof("body"))
 
-    def test_lost_message_is_sent_again_while_others_follow(self):
-        """Reports come all the time; another control instance is never behind for long.
-
-        It was behind for good: 1,800 changes of 2,500 after 12 s with one loss in 100.
-        """
+    def test_resends_lost_message_during_steady_reports(self):
+        """Guards against frequent changes that postpone a resend forever."""
         world = World(("a", "b"))
         world.step(10)
         for sequence in range(1, 60):
@@ -191,5 +188,5 @@
                 world.table(0).report(report(number, sequence, number))
             world.loss = 1.0 if sequence == 20 else 0.0
             world.step()
-        known = world.table(1).find("i-1").sequence
-        self.assertGreaterEqual(known, 58)
+        received = world.table(1).find("i-1").sequence
+        self.assertGreaterEqual(received, 58)
--- a/tests/registry/test_starts_and_tables.py
+++ b/tests/registry/test_starts_and_tables.py
@@ -10,43 +10,40 @@
 
 
 class TestStarts(unittest.TestCase):
-    """What an entry instance is told at a start, its own or that of control."""
+    """State sent after the start of an entry instance or a control instance."""
 
-    def test_restarted_hub_tells_entry_instances_before_they_ask(self):
-        """After a loss of all power nobody waits for the next question."""
+    def test_restarted_control_instance_sends_state_unasked(self):
+        """After a power loss, entry instances don't wait for the next poll."""
         world = World(("a",))
         world.step(5)
         world.table(0).report(report())
         world.step(5)
-        entries, known = world.hub(0).entries(), world.table(0).snapshot()
+        entries, runs = world.hub(0).entries(), world.table(0).snapshot()
         self.assertEqual(entries, (KnownEntry(world.entry_address, "a"),))
         world.runs.clear()
         world.start_hub(0, "a", [address(0)])
-        world.table(0).remember(known)
+        world.table(0).remember(runs)
         world.hub(0).greet(entries)
         world.hub(0).offer_routes(compressed_table(9))
         world.deliver()
-        self.assertIn("i-1", world.told())
+        self.assertIn("i-1", world.received_runs())
         self.assertEqual(world.entry.routes_version, 9)
 
-    def test_entry_instance_that_has_asked_is_not_greeted(self):
-        """One that asks before the table is read gets it like any other."""
+    def test_does_not_greet_entry_instance_that_polled(self):
+        """An entry instance that polled receives the first table without a greeting."""
         world = World(("a",))
         world.entry.poll()
         world.deliver()
-        others = [KnownEntry(address(55), "a"), KnownEntry(address(56), "b")]
-        world.hub(0).greet([KnownEntry(world.entry_address, "a"), *others])
+        other_entries = [KnownEntry(address(55), "a"), KnownEntry(address(56), "b")]
+        world.hub(0).greet([KnownEntry(world.entry_address, "a"), *other_entries])
         self.assertEqual([target for _, _, target in world.queue], [address(56)])
         world.queue.clear()
         world.hub(0).offer_routes(compressed_table(9))
         targets = {target for _, _, target in world.queue}
         self.assertEqual(targets, {world.entry_address, address(55)})
 
-    def test_entry_instance_that_knows_nobody_is_told_by_one(self):
-        """Five control instances tell it of one another, one of all runs and routes.
-
-        155,490 bytes came to its link while all of them told it all, and 16,024 since.
-        """
+    def test_one_control_instance_sends_full_state(self):
+        """Guards against the same state arriving from each control instance."""
         world = World(("a", "b", "c", "d", "e"))
         table = compressed_table(9, routes=1_600)
         for number in range(5):
@@ -56,26 +53,28 @@
             world.hub(number).offer_routes(table)
         world.entry.poll()
         world.deliver()
-        self.assertEqual((world.entry.routes_version, len(world.told())), (9, 147))
+        self.assertEqual(
+            (world.entry.routes_version, len(world.received_runs())), (9, 147)
+        )
         content_bytes = len(table.compressed) + sum(
-            run.ByteSize() for run in world.told().values()
+            run.ByteSize() for run in world.received_runs().values()
         )
         self.assertLess(world.received_bytes, 1.5 * content_bytes)
 
-    def test_greeting_after_all_was_told_asks_for_nothing(self):
-        """The next poll is soon enough for what a second one knows."""
+    def test_greeting_with_full_state_causes_no_poll(self):
+        """The state of a second control instance can wait for the next poll."""
         world = World(("a", "b"))
         world.leaderless = set(world.hubs)
         for number in range(2):
             world.table(number).report(report())
             world.hub(number).greet([KnownEntry(world.entry_address, "a")])
         world.deliver()
-        self.assertIn("i-1", world.told())
+        self.assertIn("i-1", world.received_runs())
         polled_s = [link.polled_s for link in world.entry.links.values()]
         self.assertEqual(polled_s, [float("-inf")] * 2)
 
-    def test_greeting_takes_nothing_back(self):
-        """One that is greeted again while it knows all goes on knowing it."""
+    def test_greeting_keeps_received_state(self):
+        """A greeting does not discard the state of an entry instance."""
         world = World(("a",))
         world.table(0).report(report())
         world.step(5)
@@ -87,10 +86,10 @@
 
 
 class TestTables(unittest.TestCase):
-    """Routing tables on their way to an entry instance."""
+    """Distribution of routing tables to an entry instance."""
 
-    def change_often(self, world, count=20):
-        """Agree on a large table at each step; return the bytes that came for one."""
+    def offer_many_tables(self, world, count=20):
+        """Offer a large table at each step; return the received bytes per table."""
         before = world.received_bytes
         for version in range(100, 100 + count):
             offer = compressed_table(version, routes=240)
@@ -101,36 +100,36 @@
         self.assertEqual(world.entry.routes_version, 99 + count)
         return (world.received_bytes - before) / count, len(offer.compressed)
 
-    def test_each_table_is_told_by_one(self):
-        """Changes in quick succession come once, not from each that is followed."""
+    def test_one_control_instance_sends_each_table(self):
+        """Frequent tables don't arrive from each followed instance."""
         world = World(("a", "b", "c"))
         world.step(20)
-        came_bytes, table_bytes = self.change_often(world)
-        self.assertLess(came_bytes, 1.4 * table_bytes)
+        received_bytes, table_bytes = self.offer_many_tables(world)
+        self.assertLess(received_bytes, 1.4 * table_bytes)
 
-    def test_another_tells_when_the_teller_is_lost(self):
-        """A change that is agreed right after is in force within two seconds."""
-        for lost in ({"cut"}, {"leaderless"}):
+    def test_another_instance_sends_tables_after_loss_of_sender(self):
+        """A table agreed right after the loss arrives within two seconds."""
+        for fault in ({"cut"}, {"leaderless"}):
             world = World(("a", "b", "c"))
             world.step(20)
-            world.cut = {address(0)} if "cut" in lost else set()
-            world.leaderless = {address(0)} if "leaderless" in lost else set()
+            world.cut = {address(0)} if "cut" in fault else set()
+            world.leaderless = {address(0)} if "leaderless" in fault else set()
             for number in (1, 2):
                 world.hub(number).offer_routes(compressed_table(9))
             world.step(20)
-            with self.subTest(lost=lost):
+            with self.subTest(fault=fault):
                 self.assertEqual(world.entry.routes_version, 9)
 
-    def test_another_tells_when_the_teller_is_late(self):
-        """One that hears a leader but has not the newest table holds nobody up."""
+    def test_another_instance_sends_table_if_sender_is_late(self):
+        """An instance that lacks the newest table does not delay it."""
         world = World(("a", "b", "c"))
         world.step(20)
         world.hub(2).offer_routes(compressed_table(9))
         world.step(12)
         self.assertEqual(world.entry.routes_version, 9)
 
-    def test_table_in_parts_arrives_whole_and_never_goes_back(self):
-        """A large table arrives in spite of losses, and an older one is passed over."""
+    def test_table_in_parts_arrives_complete_and_is_never_reverted(self):
+        """A large table arrives despite message loss; an older one is ignored."""
         world = World()
         world.loss = 0.3
         world.step(5)
@@ -141,8 +140,8 @@
         world.step(20)
         self.assertEqual([table.version for table in world.tables], [7])
 
-    def test_news_of_the_majority_arrives_through_a_split(self):
-        """With two of five control instances left behind, their followers hear all."""
+    def test_table_of_the_majority_arrives_during_a_partition(self):
+        """Followers of a minority of control instances receive the new table."""
         world = World(("a", "b", "c", "d", "e"))
         world.step(40)
         for number in (2, 3, 4):
--- a/tests/registry/worlds.py
+++ b/tests/registry/worlds.py
@@ -19,7 +19,7 @@
 
 
 def compressed_table(version, routes=1):
-    """An offer of a table with some routes."""
+    """Return an offer of a table with some routes."""
     table = RoutingTable(version=version, services=["tab"])
     for number in range(routes):
         table.routes.append(TableRoute(host=random.getrandbits(32), port=number + 1))
@@ -27,21 +27,21 @@
 
 
 class World:
-    """One entry instance, some control instances, and a network that loses messages."""
+    """One entry instance and some control instances on a lossy network."""
 
     def __init__(self, domains=("a", "b"), seed=1):
         self.clock = Clock()
         self.random = random.Random(seed)
         self.loss = 0.0
         self.cut = set()
-        #: Pairs of addresses that don't reach each other.
+        #: Pairs of addresses that can't reach each other.
         self.cut_pairs = set()
         self.leaderless = set()
         self.sent_bytes = self.received_bytes = 0
         self.queue = []
         self.runs, self.tables = [], []
         self.hubs, self.links, self.publishers = {}, {}, {}
-        #: Evacuated failure domains, as the entry instance was told.
+        #: Evacuated failure domains that the entry instance received.
         self.evacuated = []
         self.entry_address = address(99)
         seeds = [address(number) for number in range(len(domains))]
@@ -61,7 +61,7 @@
         )
 
     def start_hub(self, number, domain, seeds):
-        """Start a control instance, empty."""
+        """Start a control instance without state."""
         place = address(number)
         table = RunTable(INTERVAL_S, self.clock)
         hub = RegistryHub(
@@ -106,7 +106,7 @@
         return send
 
     def deliver(self):
-        """Deliver until nothing is under way."""
+        """Deliver all messages in transit."""
         while self.queue:
             data, source, target = self.queue.pop(0)
             message = decode_message(data)
@@ -125,7 +125,7 @@
                 self.links[target].on_delta(message.delta, source)
 
     def step(self, count=1, step_s=0.1, check=lambda: None):
-        """Let time pass, and check something each time."""
+        """Advance the clock in steps, and call `check` after each."""
         for number in range(count):
             self.clock.value_s += step_s
             for table, hub in self.hubs.values():
@@ -147,11 +147,11 @@
         return self.hubs[address(number)][1]
 
     def evacuate(self, version, *domains, numbers=None):
-        """Let some control instances have an evacuation in their logs."""
+        """Offer an evacuation at some control instances."""
         for number in range(len(self.hubs)) if numbers is None else numbers:
             evacuations = Evacuations(version=version, failure_domains=domains)
             self.publishers[address(number)].offer(evacuations)
 
-    def told(self):
-        """What the entry instance was told last of each run."""
+    def received_runs(self):
+        """Return the last received state of each run at the entry instance."""
         return {run.id: run for run in self.runs}
