--- a/src/agatethread/client/__init__.py
+++ b/src/agatethread/client/__init__.py
@@ -1,4 +1,4 @@
-"""Client that a caller's program imports."""
+"""Client library for callers: requests and streams to services."""
 
 from agatethread.client._client import Client, connect
 from agatethread.client._stream import Stream
--- a/src/agatethread/client/_client.py
+++ b/src/agatethread/client/_client.py
@@ -1,4 +1,4 @@
-"""One socket of a caller, with its streams and requests."""
+"""Client socket of a caller: sends requests and opens streams to services."""
 
 import asyncio
 import contextlib
@@ -7,7 +7,7 @@
 from collections.abc import Coroutine
 
 from agatethread.client._stream import Stream
-from agatethread.client._waiting import Waiting, failure, pause_s
+from agatethread.client._waiting import PendingRequest, get_retry_delay_s, make_error
 from agatethread.exceptions import (
     DatagramError,
     OperationUnknownError,
@@ -26,27 +26,27 @@
 )
 
 _NONCE_BYTES = 16
-_RESEND_S = 0.2
-#: Resend interval once an instance has said that it works on the request.
-_ACCEPTED_RESEND_S = 0.5
+_RESEND_INTERVAL_S = 0.2
+#: Used after an instance has accepted the request.
+_ACCEPTED_RESEND_INTERVAL_S = 0.5
 _HELLO_TIMEOUT_S = 3.0
-#: A wait shorter than this ends at once, so the deadline counts as passed.
-_LEAST_WAIT_S = 0.001
-_MISSING_POLL_S = 0.05
-#: Memory for answers in fragments.
+#: A shorter time to the deadline counts as a timeout.
+_MIN_WAIT_S = 0.001
+_MISSING_POLL_INTERVAL_S = 0.05
+#: Memory for fragmented answers.
 _ANSWERS_LIMIT_BYTES = 64 << 20
-_VERDICTS = frozenset((Kind.ANSWER, Kind.REFUSED, Kind.UNKNOWN))
+_VERDICT_KINDS = frozenset((Kind.ANSWER, Kind.REFUSED, Kind.UNKNOWN))
 
 
 class Client(asyncio.DatagramProtocol):
-    """Streams and requests to the services behind some addresses.
+    """Client that sends requests and opens streams through one UDP socket.
 
     Parameters
     ----------
     addresses : dict of str to str
         ``IP:port`` of each service.
     partner : str, default=""
-        Whose requests these are; partners share a service equally.
+        Partner that the requests belong to; partners share a service equally.
     """
 
     def __init__(self, addresses: dict[str, str], partner: str = ""):
@@ -56,11 +56,11 @@
         self._partner = partner
         self._transport: asyncio.DatagramTransport | None = None
         self._streams: dict[int, Stream] = {}
-        self._requests: dict[bytes, Waiting] = {}
+        self._pending_requests: dict[bytes, PendingRequest] = {}
         self._tokens: dict[str, bytes] = {}
-        self._welcomes: dict[str, asyncio.Event] = defaultdict(asyncio.Event)
+        self._welcome_events: dict[str, asyncio.Event] = defaultdict(asyncio.Event)
         self._tasks: set[asyncio.Task] = set()
-        self._asking: asyncio.Task | None = None
+        self._missing_task: asyncio.Task | None = None
         self._outbox = Outbox()
         loop = asyncio.get_running_loop()
         self._assembler = Assembler(
@@ -68,7 +68,7 @@
         )
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """Keep the transport.
+        """Store the transport.
 
         Parameters
         ----------
@@ -78,12 +78,12 @@
         self._transport = transport
 
     def error_received(self, exc: OSError) -> None:
-        """Ignore a datagram that could not be delivered: all are sent again.
+        """Ignore a send error: datagrams without a reply are sent again.
 
         Parameters
         ----------
         exc : OSError
-            What the kernel said.
+            Error reported by the kernel.
         """
 
     def close(self) -> None:
@@ -99,14 +99,14 @@
         self._transport.sendto(envelope.SerializeToString(), target)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand a datagram to its stream or request.
+        """Pass a datagram to its stream or request.
 
         Parameters
         ----------
         data : bytes
             The datagram.
         addr : tuple of (str, int)
-            Its source.
+            Source address.
         """
         try:
             envelope = decode_envelope(data)
@@ -114,16 +114,16 @@
             return
 
         if envelope.operation_id:
-            self._on_operation(envelope)
+            self._on_request_envelope(envelope)
         elif envelope.kind == Kind.WELCOME:
             self._tokens[envelope.service] = envelope.token
-            self._welcomes[envelope.service].set()
+            self._welcome_events[envelope.service].set()
         elif envelope.flow_id in self._streams:
             self._streams[envelope.flow_id].on_envelope(envelope)
         elif envelope.kind == Kind.OPENED and envelope.service in self._addresses:
-            self._close_orphan(envelope)
+            self._close_unknown_flow(envelope)
 
-    def _close_orphan(self, envelope: Envelope) -> None:
+    def _close_unknown_flow(self, envelope: Envelope) -> None:
         close = Envelope(
             kind=Kind.CLOSE,
             service=envelope.service,
@@ -132,42 +132,42 @@
         )
         self._send(close)
 
-    def _on_operation(self, envelope: Envelope) -> None:
-        waiting = self._requests.get(envelope.operation_id)
-        if waiting is None:
+    def _on_request_envelope(self, envelope: Envelope) -> None:
+        pending = self._pending_requests.get(envelope.operation_id)
+        if pending is None:
             return
         if envelope.kind == Kind.ACCEPTED:
-            waiting.accepted.set()
-            waiting.on_sign_of_life()
+            pending.accepted.set()
+            pending.on_owner_reply()
         elif envelope.kind == Kind.UNREACHABLE:
-            waiting.on_unreachable(envelope.token)
+            pending.on_unreachable(envelope.token)
         elif envelope.kind == Kind.MISSING:
-            waiting.on_sign_of_life()
+            pending.on_owner_reply()
             self._outbox.resend(envelope.operation_id, envelope.missing)
-        elif envelope.kind in _VERDICTS and not waiting.verdict.done():
-            self._on_verdict(envelope, waiting)
+        elif envelope.kind in _VERDICT_KINDS and not pending.verdict.done():
+            self._on_verdict(envelope, pending)
 
-    def _on_verdict(self, envelope: Envelope, waiting: Waiting) -> None:
+    def _on_verdict(self, envelope: Envelope, pending: PendingRequest) -> None:
         try:
-            whole = self._assembler.add(envelope.operation_id, b"", envelope)
+            message = self._assembler.add(envelope.operation_id, b"", envelope)
         except (DatagramError, TransferLimitError):
             return
-        if whole is not None:
-            waiting.verdict.set_result(whole)
-            waiting.news.set()
+        if message is not None:
+            pending.verdict.set_result(message)
+            pending.changed.set()
 
-    async def _ask_for_missing(self) -> None:
+    async def _request_missing(self) -> None:
         while True:
-            await asyncio.sleep(_MISSING_POLL_S)
+            await asyncio.sleep(_MISSING_POLL_INTERVAL_S)
             for partial, indices in self._assembler.take_quiet():
                 operation_id = partial.first.operation_id
-                waiting = self._requests.get(operation_id)
-                if waiting is None:
+                pending = self._pending_requests.get(operation_id)
+                if pending is None:
                     self._assembler.drop(operation_id)
                     continue
                 missing = Envelope(
                     kind=Kind.MISSING,
-                    service=waiting.service,
+                    service=pending.service,
                     operation_id=operation_id,
                     missing=indices,
                 )
@@ -176,16 +176,16 @@
     async def open_stream(
         self, service: str, payload: bytes = b"", timeout_s: float = 10.0
     ) -> Stream:
-        """Open a flow that stays until one side closes it.
+        """Open a flow that lasts until one side closes it.
 
         Parameters
         ----------
         service : str
-            The service.
+            Service name.
         payload : bytes, default=b""
             Passed to the backend server.
         timeout_s : float, default=10.0
-            Longest time to try.
+            Time limit for the attempts.
 
         Returns
         -------
@@ -195,9 +195,9 @@
         Raises
         ------
         OperationRefusedError
-            If there is no place for it now.
+            If no backend server has capacity for it now.
         FlowBrokenError
-            If nobody answered in time.
+            If there was no answer within the timeout.
         """
         stream = Stream(service, secrets.randbits(63) | 1, self._send)
         self._streams[stream.flow_id] = stream
@@ -206,15 +206,15 @@
         except BaseException:
             del self._streams[stream.flow_id]
             raise
-        self._start(self._keep_stream(stream))
+        self._start_task(self._keep_stream_alive(stream))
         return stream
 
-    async def _keep_stream(self, stream: Stream) -> None:
+    async def _keep_stream_alive(self, stream: Stream) -> None:
         await stream.keep_alive()
         self._streams.pop(stream.flow_id, None)
 
-    def _start(self, work: Coroutine) -> asyncio.Task:
-        task = asyncio.ensure_future(work)
+    def _start_task(self, coroutine: Coroutine) -> asyncio.Task:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -227,48 +227,49 @@
         idempotent: bool,
         timeout_s: float = 10.0,
     ) -> bytes:
-        """Have a request run, and return its whole answer.
+        """Send a request and return its complete answer.
 
-        A request that was refused because the instance that would decide it has
-        changed did not run, and is sent anew at once within the timeout; so is an
-        idempotent one whose outcome is unknown.
+        Within the timeout it is retried when it was refused as moved, which means that
+        it did not run, or when it is idempotent and its outcome is unknown.
 
         Parameters
         ----------
         service : str
-            The service.
+            Service name.
         payload : bytes
-            The request.
+            Payload of the request.
         idempotent : bool
             Whether it may run more than once.
         timeout_s : float, default=10.0
-            Time until the deadline.
+            Time to the deadline.
 
         Returns
         -------
         bytes
-            The answer.
+            Payload of the answer.
 
         Raises
         ------
         OperationRefusedError
-            If it did not run; says when to come back.
+            If it did not run; holds the delay before a retry.
         OperationUnknownError
-            If nobody knows whether it ran.
+            If it is unknown whether it ran.
         PayloadTooLargeError
-            If it is larger than any message may be.
+            If the payload exceeds the message size limit.
         UnavailableError
-            If no instance could be reached; it was not sent.
+            If no instance was reachable; it was not sent.
         """
         if len(payload) > MAX_MESSAGE_BYTES:
-            raise PayloadTooLargeError(f"{len(payload)} bytes of {MAX_MESSAGE_BYTES}")
-        if self._asking is None:
-            self._asking = self._start(self._ask_for_missing())
+            raise PayloadTooLargeError(
+                f"payload of {len(payload)} bytes exceeds {MAX_MESSAGE_BYTES} bytes"
+            )
+        if self._missing_task is None:
+            self._missing_task = self._start_task(self._request_missing())
 
         deadline_s = asyncio.get_running_loop().time() + timeout_s
         may_have_run = False
         while True:
-            token = await self._token(service, may_have_run)
+            token = await self._get_token(service, may_have_run)
             request = Envelope(
                 kind=Kind.REQUEST,
                 service=service,
@@ -277,7 +278,7 @@
                 payload=payload,
                 partner=self._partner,
             )
-            verdict = await self._run(request, deadline_s)
+            verdict = await self._run_attempt(request, deadline_s)
             if verdict.token:
                 self._tokens[service] = verdict.token
             if verdict.kind == Kind.ANSWER:
@@ -285,43 +286,43 @@
             may_have_run = may_have_run or verdict.kind == Kind.UNKNOWN
             if may_have_run and not idempotent:
                 raise OperationUnknownError(Reason.Name(verdict.reason))
-            wait_s = pause_s(verdict)
+            wait_s = get_retry_delay_s(verdict)
             if (
                 wait_s is None
                 or asyncio.get_running_loop().time() + wait_s >= deadline_s
             ):
-                raise failure(verdict, may_have_run)
+                raise make_error(verdict, may_have_run)
             await asyncio.sleep(wait_s)
 
-    async def _run(self, request: Envelope, deadline_s: float) -> Envelope:
-        waiting = Waiting(request)
-        self._requests[request.operation_id] = waiting
+    async def _run_attempt(self, request: Envelope, deadline_s: float) -> Envelope:
+        pending = PendingRequest(request)
+        self._pending_requests[request.operation_id] = pending
         try:
-            return await self._resend_until_verdict(request, waiting, deadline_s)
+            return await self._resend_until_verdict(request, pending, deadline_s)
         except asyncio.CancelledError:
             self._cancel(request)
             raise
         finally:
-            del self._requests[request.operation_id]
+            del self._pending_requests[request.operation_id]
             self._outbox.done(request.operation_id)
 
     async def _resend_until_verdict(
-        self, request: Envelope, waiting: Waiting, deadline_s: float
+        self, request: Envelope, pending: PendingRequest, deadline_s: float
     ) -> Envelope:
         loop = asyncio.get_running_loop()
         is_first = True
-        while (remaining_s := deadline_s - loop.time()) > _LEAST_WAIT_S:
+        while (remaining_s := deadline_s - loop.time()) > _MIN_WAIT_S:
             request.deadline_ms = max(1, round(remaining_s * 1000))
             self._send_request(request, is_first)
             is_first = False
-            accepted = waiting.accepted.is_set()
-            interval_s = _ACCEPTED_RESEND_S if accepted else _RESEND_S
-            waiting.news.clear()
+            accepted = pending.accepted.is_set()
+            interval_s = _ACCEPTED_RESEND_INTERVAL_S if accepted else _RESEND_INTERVAL_S
+            pending.changed.clear()
             with contextlib.suppress(TimeoutError):
                 wait_s = min(interval_s, remaining_s)
-                await asyncio.wait_for(waiting.news.wait(), wait_s)
-            if waiting.verdict.done():
-                return waiting.verdict.result()
+                await asyncio.wait_for(pending.changed.wait(), wait_s)
+            if pending.verdict.done():
+                return pending.verdict.result()
         self._tokens.pop(request.service, None)
         return Envelope(kind=Kind.UNKNOWN, reason=Reason.DEADLINE)
 
@@ -334,7 +335,7 @@
                 lambda data: self._transport.sendto(data, target),
             )
         elif len(request.payload) > MAX_PAYLOAD_BYTES:
-            # Enough for an instance to say what it has, or what it lacks.
+            # One fragment makes the instance reply with what is missing.
             self._outbox.resend(request.operation_id, [0])
         else:
             self._send(request)
@@ -347,37 +348,39 @@
         )
         self._send(cancel)
 
-    async def _token(self, service: str, may_have_run: bool) -> bytes:
-        welcomed = self._welcomes[service]
-        for _ in range(round(_HELLO_TIMEOUT_S / _RESEND_S)):
+    async def _get_token(self, service: str, may_have_run: bool) -> bytes:
+        welcome_event = self._welcome_events[service]
+        for _ in range(round(_HELLO_TIMEOUT_S / _RESEND_INTERVAL_S)):
             token = self._tokens.get(service)
             if token:
                 return token
-            welcomed.clear()
+            welcome_event.clear()
             self._send(Envelope(kind=Kind.HELLO, service=service))
             try:
-                await asyncio.wait_for(welcomed.wait(), _RESEND_S)
+                await asyncio.wait_for(welcome_event.wait(), _RESEND_INTERVAL_S)
             except TimeoutError:
                 continue
         if may_have_run:
-            raise OperationUnknownError("no instance answers any more")
+            raise OperationUnknownError(
+                "no instance answers; an earlier attempt may have run"
+            )
         raise UnavailableError(f"no instance answers for {service}")
 
 
 async def connect(addresses: dict[str, str], partner: str = "") -> Client:
-    """Make a client with a socket of its own.
+    """Return a client with its own socket.
 
     Parameters
     ----------
     addresses : dict of str to str
         ``IP:port`` of each service.
     partner : str, default=""
-        Whose requests these are.
+        Partner that the requests belong to.
 
     Returns
     -------
     Client
-        Ready to use.
+        Connected client.
     """
     loop = asyncio.get_running_loop()
     _, client = await loop.create_datagram_endpoint(
--- a/src/agatethread/client/_stream.py
+++ b/src/agatethread/client/_stream.py
@@ -1,4 +1,4 @@
-"""A flow as its caller holds it."""
+"""Stream: the caller's end of an open flow."""
 
 import asyncio
 from collections.abc import Callable
@@ -10,23 +10,23 @@
 )
 from agatethread.wire import MAX_PAYLOAD_BYTES, Envelope, Kind, Reason
 
-_OPEN_RESEND_S = 0.25
-_KEEPALIVE_S = 2.0
-#: Silence after which a flow counts as broken.
-_SILENCE_S = 15.0
+_OPEN_RESEND_INTERVAL_S = 0.25
+_KEEPALIVE_INTERVAL_S = 2.0
+#: A flow without a datagram for this long counts as broken.
+_FLOW_TIMEOUT_S = 15.0
 
 Send = Callable[[Envelope], None]
 
 
 class Stream:
-    """An open flow; iterate over it for what the backend server pushes.
+    """An open flow; iterate over it to receive the backend server's pushes.
 
     Parameters
     ----------
     service : str
-        The service.
+        Service name.
     flow_id : int
-        Random 64 bits.
+        Random id of up to 64 bits.
     send : callable
         Sends an envelope to the service's address.
     """
@@ -38,10 +38,10 @@
         self._cookie = b""
         self._opened: asyncio.Future[None] = asyncio.get_running_loop().create_future()
         self._pushes: asyncio.Queue[bytes | None] = asyncio.Queue()
-        self._early: dict[int, bytes] = {}
-        self._received = 0
-        self._heard_s = 0.0
-        self._broken = ""
+        self._out_of_order: dict[int, bytes] = {}
+        self._last_sequence = 0
+        self._last_datagram_s = 0.0
+        self._failure_reason = ""
         self.is_closed = False
 
     async def open(self, payload: bytes, timeout_s: float) -> None:
@@ -52,34 +52,39 @@
         payload : bytes
             Passed to the backend server.
         timeout_s : float
-            Longest time to try.
+            Time limit for the attempts.
 
         Raises
         ------
         OperationRefusedError
-            If there is no place for it now.
+            If no backend server has capacity for it now.
         FlowBrokenError
-            If nobody answered in time.
+            If there was no answer within the timeout.
         """
         deadline_s = asyncio.get_running_loop().time() + timeout_s
         while asyncio.get_running_loop().time() < deadline_s:
             self._send(Kind.OPEN, payload=payload)
-            done, _ = await asyncio.wait([self._opened], timeout=_OPEN_RESEND_S)
+            done, _ = await asyncio.wait(
+                [self._opened], timeout=_OPEN_RESEND_INTERVAL_S
+            )
             if done:
                 self._opened.result()
                 return
-        raise FlowBrokenError("nobody answered")
+        raise FlowBrokenError("no answer within the timeout")
 
     async def keep_alive(self) -> None:
         """Send keepalives until the flow ends."""
         while not self.is_closed:
-            await asyncio.sleep(_KEEPALIVE_S)
+            await asyncio.sleep(_KEEPALIVE_INTERVAL_S)
             if self.is_closed or not self._cookie:
                 continue
-            if asyncio.get_running_loop().time() - self._heard_s > _SILENCE_S:
-                self._break("no answer")
+            if (
+                asyncio.get_running_loop().time() - self._last_datagram_s
+                > _FLOW_TIMEOUT_S
+            ):
+                self._fail("no datagram within the flow timeout")
                 return
-            self._send(Kind.KEEPALIVE, sequence=self._received)
+            self._send(Kind.KEEPALIVE, sequence=self._last_sequence)
 
     def _send(self, kind: int, **fields: object) -> None:
         envelope = Envelope(
@@ -92,12 +97,12 @@
         self._send_envelope(envelope)
 
     def send(self, payload: bytes) -> None:
-        """Send a datagram to the backend server; it may be lost on the way.
+        """Send a datagram to the backend server, without a guarantee of delivery.
 
         Parameters
         ----------
         payload : bytes
-            What to send.
+            Payload of the datagram.
 
         Raises
         ------
@@ -107,13 +112,13 @@
             If the flow has ended.
         """
         if len(payload) > MAX_PAYLOAD_BYTES:
-            raise PayloadTooLargeError(f"{len(payload)} bytes")
-        if self._broken:
-            raise FlowBrokenError(self._broken)
+            raise PayloadTooLargeError(f"payload of {len(payload)} bytes does not fit")
+        if self._failure_reason:
+            raise FlowBrokenError(self._failure_reason)
         self._send(Kind.DATA, payload=payload)
 
     def close(self) -> None:
-        """End the flow."""
+        """Close the flow."""
         if not self.is_closed:
             self._send(Kind.CLOSE)
         self._finish()
@@ -122,19 +127,19 @@
         self.is_closed = True
         self._pushes.put_nowait(None)
 
-    def _break(self, why: str) -> None:
-        self._broken = why
+    def _fail(self, reason: str) -> None:
+        self._failure_reason = reason
         self._finish()
 
     def on_envelope(self, envelope: Envelope) -> None:
-        """Take a datagram of this flow.
+        """Handle a datagram of this flow.
 
         Parameters
         ----------
         envelope : Envelope
             The datagram.
         """
-        self._heard_s = asyncio.get_running_loop().time()
+        self._last_datagram_s = asyncio.get_running_loop().time()
         kind = envelope.kind
         if kind == Kind.OPENED:
             self._on_opened(envelope)
@@ -151,11 +156,11 @@
 
     def _on_reset(self, envelope: Envelope) -> None:
         if envelope.cookie in (b"", self._cookie):
-            self._break(Reason.Name(envelope.reason))
+            self._fail(Reason.Name(envelope.reason))
 
     def _on_opened(self, envelope: Envelope) -> None:
         if self.is_closed or (self._cookie and envelope.cookie != self._cookie):
-            # A second placement of a resent opening; the first one counts.
+            # A resent opening was placed twice; the first placement stays.
             close = Envelope(
                 kind=Kind.CLOSE,
                 service=self.service,
@@ -169,12 +174,12 @@
             self._opened.set_result(None)
 
     def _on_push(self, envelope: Envelope) -> None:
-        if envelope.sequence > self._received:
-            self._early[envelope.sequence] = envelope.payload
-        while self._received + 1 in self._early:
-            self._received += 1
-            self._pushes.put_nowait(self._early.pop(self._received))
-        self._send(Kind.KEEPALIVE, sequence=self._received)
+        if envelope.sequence > self._last_sequence:
+            self._out_of_order[envelope.sequence] = envelope.payload
+        while self._last_sequence + 1 in self._out_of_order:
+            self._last_sequence += 1
+            self._pushes.put_nowait(self._out_of_order.pop(self._last_sequence))
+        self._send(Kind.KEEPALIVE, sequence=self._last_sequence)
 
     def __aiter__(self) -> "Stream":
         return self
@@ -183,6 +188,6 @@
         push = await self._pushes.get()
         if push is not None:
             return push
-        if self._broken:
-            raise FlowBrokenError(self._broken)
+        if self._failure_reason:
+            raise FlowBrokenError(self._failure_reason)
         raise StopAsyncIteration
--- a/src/agatethread/client/_waiting.py
+++ b/src/agatethread/client/_waiting.py
@@ -1,4 +1,4 @@
-"""A request that waits for its verdict, and what a verdict means for its caller."""
+"""State of a request that waits for its verdict, and the error for a verdict."""
 
 import asyncio
 
@@ -9,18 +9,18 @@
 )
 from agatethread.wire import MAX_PAYLOAD_BYTES, Envelope, Kind, Reason
 
-#: So many instances in a row that reach neither owner nor standby settle it.
-_MOST_UNREACHABLE = 8
-#: Hints closer together than this count once: many fragments bring many.
-_HINT_INTERVAL_S = 0.004
-#: After a sign of life of the owner no hint counts for a while.
-_HEARD_LATELY_S = 0.5
-#: Pause before an idempotent request with an unknown outcome is sent anew.
-_UNKNOWN_RETRY_S = 0.05
+#: Consecutive hints after which the outcome counts as unknown.
+_UNREACHABLE_LIMIT_COUNT = 8
+#: Hints within this interval count once, as each fragment may cause one.
+_UNREACHABLE_INTERVAL_S = 0.004
+#: Hints are ignored for this long after a reply of the owner.
+_OWNER_REPLY_VALID_S = 0.5
+#: Delay before a retry of an idempotent request with an unknown outcome.
+_UNKNOWN_RETRY_DELAY_S = 0.05
 
 
-class Waiting:
-    """A request in progress.
+class PendingRequest:
+    """State of a request in progress.
 
     Parameters
     ----------
@@ -30,44 +30,46 @@
 
     def __init__(self, request: Envelope) -> None:
         self.service = request.service
-        # One datagram that may run twice is best sent anew under another token.
+        # A small idempotent request is retried at once with a fresh token.
         is_small = len(request.payload) <= MAX_PAYLOAD_BYTES
         self.may_restart = request.idempotent and is_small
         self.verdict = asyncio.get_running_loop().create_future()
         self.accepted = asyncio.Event()
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
         self.unreachable_count = 0
-        self.unreachable_s = 0.0
-        self.heard_s = 0.0
+        self.last_unreachable_s = 0.0
+        self.last_owner_reply_s = 0.0
 
-    def on_sign_of_life(self) -> None:
-        """Note that the owner has it, or part of it."""
-        self.heard_s = asyncio.get_running_loop().time()
+    def on_owner_reply(self) -> None:
+        """Record that the owner has received at least a part of it."""
+        self.last_owner_reply_s = asyncio.get_running_loop().time()
         self.unreachable_count = 0
 
     def on_unreachable(self, token: bytes) -> None:
-        """Note that an instance reaches nobody who may decide.
+        """Record that an instance reaches neither the owner nor the standby.
 
         Parameters
         ----------
         token : bytes
-            Token for the next try.
+            Token for the next attempt.
         """
         now_s = asyncio.get_running_loop().time()
-        recent = now_s - self.unreachable_s < _HINT_INTERVAL_S
-        if recent or now_s - self.heard_s < _HEARD_LATELY_S:
+        is_repeated = now_s - self.last_unreachable_s < _UNREACHABLE_INTERVAL_S
+        if is_repeated or now_s - self.last_owner_reply_s < _OWNER_REPLY_VALID_S:
             return
-        self.unreachable_s = now_s
+        self.last_unreachable_s = now_s
         self.unreachable_count += 1
-        self.news.set()
-        enough = self.may_restart or self.unreachable_count >= _MOST_UNREACHABLE
-        if enough and not self.verdict.done():
+        self.changed.set()
+        is_final = (
+            self.may_restart or self.unreachable_count >= _UNREACHABLE_LIMIT_COUNT
+        )
+        if is_final and not self.verdict.done():
             verdict = Envelope(kind=Kind.UNKNOWN, reason=Reason.HOME_LOST, token=token)
             self.verdict.set_result(verdict)
 
 
-def pause_s(verdict: Envelope) -> float | None:
-    """Tell when a request is sent anew.
+def get_retry_delay_s(verdict: Envelope) -> float | None:
+    """Return the delay before the client retries a request.
 
     Parameters
     ----------
@@ -77,27 +79,27 @@
     Returns
     -------
     float or None
-        Seconds until then, or None if the caller must decide.
+        Seconds, or None if the client does not retry.
     """
     if verdict.kind == Kind.UNKNOWN:
-        return _UNKNOWN_RETRY_S
+        return _UNKNOWN_RETRY_DELAY_S
     return verdict.retry_after_ms / 1000 if verdict.reason == Reason.MOVED else None
 
 
-def failure(verdict: Envelope, may_have_run: bool) -> AgatethreadError:
-    """Make the error that a verdict is raised as.
+def make_error(verdict: Envelope, may_have_run: bool) -> AgatethreadError:
+    """Return the exception for a verdict.
 
     Parameters
     ----------
     verdict : Envelope
         Refused or unknown.
     may_have_run : bool
-        Whether this or an earlier try may have run.
+        Whether this or an earlier attempt may have run.
 
     Returns
     -------
     AgatethreadError
-        The error.
+        Exception to raise.
     """
     reason = Reason.Name(verdict.reason)
     if may_have_run:
--- a/src/agatethread/rpc/__init__.py
+++ b/src/agatethread/rpc/__init__.py
@@ -1,4 +1,4 @@
-"""gRPC channels and servers, with TLS on both sides."""
+"""gRPC channels and servers with mutual TLS."""
 
 from agatethread.rpc._channels import Credentials, add_port, open_channel
 from agatethread.rpc._server import AdminServer
--- a/src/agatethread/rpc/_channels.py
+++ b/src/agatethread/rpc/_channels.py
@@ -1,4 +1,4 @@
-"""Open channels and ports under the settings' keys."""
+"""Open gRPC channels and ports with the keys of the settings."""
 
 from pathlib import Path
 from typing import Protocol
@@ -8,7 +8,7 @@
 from agatethread.exceptions import FieldError, SettingsError
 from agatethread.settings import TlsSettings
 
-_KEEPALIVE = (
+_CHANNEL_OPTIONS = (
     ("grpc.keepalive_time_ms", 10_000),
     ("grpc.keepalive_timeout_ms", 3_000),
     ("grpc.max_reconnect_backoff_ms", 1_000),
@@ -18,60 +18,64 @@
 
 
 class Credentials(Protocol):
-    """The part of the settings that decides how gRPC is secured."""
+    """Settings that hold the TLS keys of gRPC."""
 
     tls: TlsSettings | None
 
 
-def _read(path: str) -> bytes:
+def _read_key_file(path: str) -> bytes:
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        fault = FieldError("settings", "tls", path, f"a readable file ({error})")
-        raise SettingsError("key files can't be read", [fault]) from None
+        field_error = FieldError("settings", "tls", path, f"a readable file ({error})")
+        raise SettingsError("TLS key files can't be read", [field_error]) from None
 
 
 def open_channel(credentials: Credentials, target: str) -> grpc.aio.Channel:
-    """Open a channel to a process of the system.
+    """Return a channel to another process of the system.
 
     Parameters
     ----------
     credentials : Credentials
-        Settings with the key files, read anew for each channel.
+        Settings with the key files, which are read for each channel.
     target : str
         ``IP:port``.
 
     Returns
     -------
     grpc.aio.Channel
-        The channel; both sides are authenticated unless plain text is set.
+        Channel with mutual TLS, or in plain text without TLS settings.
     """
     tls = credentials.tls
     if tls is None:
-        return grpc.aio.insecure_channel(target, options=_KEEPALIVE)
+        return grpc.aio.insecure_channel(target, options=_CHANNEL_OPTIONS)
 
     channel_credentials = grpc.ssl_channel_credentials(
-        root_certificates=_read(tls.authority_file),
-        private_key=_read(tls.key_file),
-        certificate_chain=_read(tls.certificate_file),
+        root_certificates=_read_key_file(tls.authority_file),
+        private_key=_read_key_file(tls.key_file),
+        certificate_chain=_read_key_file(tls.certificate_file),
+    )
+    return grpc.aio.secure_channel(
+        target, channel_credentials, options=_CHANNEL_OPTIONS
     )
-    return grpc.aio.secure_channel(target, channel_credentials, options=_KEEPALIVE)
 
 
-def _configuration(tls: TlsSettings) -> grpc.ServerCertificateConfiguration:
-    pair = (_read(tls.key_file), _read(tls.certificate_file))
-    return grpc.ssl_server_certificate_configuration([pair], _read(tls.authority_file))
+def _read_configuration(tls: TlsSettings) -> grpc.ServerCertificateConfiguration:
+    key_pair = (_read_key_file(tls.key_file), _read_key_file(tls.certificate_file))
+    return grpc.ssl_server_certificate_configuration(
+        [key_pair], _read_key_file(tls.authority_file)
+    )
 
 
 def add_port(server: grpc.aio.Server, credentials: Credentials, address: str) -> None:
-    """Make a server listen.
+    """Add a listening port to a server.
 
     Parameters
     ----------
     server : grpc.aio.Server
-        The server.
+        Server to extend.
     credentials : Credentials
-        Settings with the key files; they are read anew for each handshake.
+        Settings with the key files, which are read for each handshake.
     address : str
         ``IP:port``.
     """
@@ -81,6 +85,6 @@
         return
 
     server_credentials = grpc.dynamic_ssl_server_credentials(
-        _configuration(tls), lambda: _configuration(tls), True
+        _read_configuration(tls), lambda: _read_configuration(tls), True
     )
     server.add_secure_port(address, server_credentials)
--- a/src/agatethread/rpc/_server.py
+++ b/src/agatethread/rpc/_server.py
@@ -1,4 +1,4 @@
-"""The process's one gRPC server: inspection always, other services by role."""
+"""gRPC server of a process: inspection and the services of its roles."""
 
 import json
 from collections.abc import Callable
@@ -13,7 +13,7 @@
 from agatethread.wire import control_pb2_grpc
 from agatethread.wire.control_pb2 import DumpReply, DumpRequest
 
-_STOP_GRACE_S = 1.0
+_STOP_GRACE_PERIOD_S = 1.0
 
 log = make_logger("rpc")
 
@@ -29,14 +29,14 @@
 
 
 class AdminServer(Service):
-    """Serves gRPC on the process's admin address.
+    """gRPC server on the process's admin address.
 
     Parameters
     ----------
     settings : Settings
-        Address and keys.
+        Settings with the admin address and the TLS keys.
     dump : callable
-        Returns the process's state.
+        Returns the state of the process.
     """
 
     def __init__(self, settings: Settings, dump: Callable[[], dict[str, Any]]):
@@ -47,19 +47,19 @@
         self._server: grpc.aio.Server | None = None
 
     def register(self, registration: Callable[[grpc.aio.Server], None]) -> None:
-        """Add a role's services before the start.
+        """Add the services of a role; call it before the start.
 
         Parameters
         ----------
         registration : callable
-            Adds servicers to the server.
+            Adds the servicers to the server.
         """
         self._registrations.append(registration)
 
     async def on_start(self) -> None:
-        """Listen."""
+        """Start the server and listen."""
         if self._settings.tls is None:
-            log.warning("gRPC runs in plain text by plain_text: true")
+            log.warning("gRPC runs without TLS because plain_text is true")
         self._server = grpc.aio.server(options=(("grpc.so_reuseport", 0),))
         inspection = _Inspection(self._dump)
         control_pb2_grpc.add_InspectionServicer_to_server(inspection, self._server)
@@ -69,6 +69,6 @@
         await self._server.start()
 
     async def on_stop(self) -> None:
-        """Stop listening; calls in progress get a moment to end."""
+        """Stop the server after a grace period for calls in progress."""
         if self._server is not None:
-            await self._server.stop(_STOP_GRACE_S)
+            await self._server.stop(_STOP_GRACE_PERIOD_S)
--- a/src/agatethread/sockets/__init__.py
+++ b/src/agatethread/sockets/__init__.py
@@ -1,4 +1,4 @@
-"""Datagram sockets on the event loop."""
+"""Datagram sockets of the event loop."""
 
 from agatethread.sockets._datagrams import (
     Handler,
--- a/src/agatethread/sockets/_datagrams.py
+++ b/src/agatethread/sockets/_datagrams.py
@@ -1,4 +1,4 @@
-"""Datagram sockets that are drained in batches on each readiness event."""
+"""Datagram sockets that are read in batches when they are ready."""
 
 import asyncio
 import socket
@@ -8,10 +8,10 @@
 from agatethread.observability import Counters, Event, make_logger
 from agatethread.settings import parse_address
 
-#: Datagrams read before other tasks get their turn.
+#: Limit of datagrams read before other tasks of the loop run.
 BATCH_COUNT = 64
 _BUFFER_BYTES = 4 << 20
-_READ_BYTES = 2_048
+_RECEIVE_BYTES = 2_048
 
 Handler = Callable[[bytes, tuple[str, int]], None]
 
@@ -19,7 +19,7 @@
 
 
 def open_socket(address: str) -> socket.socket:
-    """Open a datagram socket.
+    """Return a bound datagram socket.
 
     Parameters
     ----------
@@ -29,46 +29,46 @@
     Returns
     -------
     socket.socket
-        Bound and non-blocking.
+        Non-blocking UDP socket.
 
     Raises
     ------
     OSError
         If the address can't be bound.
     """
-    opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _BUFFER_BYTES)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, _BUFFER_BYTES)
-    opened.setblocking(False)
-    opened.bind(parse_address(address))
-    return opened
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, _BUFFER_BYTES)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, _BUFFER_BYTES)
+    sock.setblocking(False)
+    sock.bind(parse_address(address))
+    return sock
 
 
 def drain_into(
-    opened: socket.socket, handler: Handler, counters: Counters
+    sock: socket.socket, handler: Handler, counters: Counters
 ) -> Callable[[], None]:
-    """Make the reader of a socket.
+    """Return a function that reads the datagrams waiting at a socket.
 
     Parameters
     ----------
-    opened : socket.socket
-        The socket.
+    sock : socket.socket
+        Socket to read.
     handler : callable
-        Called with each datagram and its source.
+        Called with each datagram and its source address.
     counters : Counters
-        Counts what the handler rejects, by the kind of fault.
+        Counts datagrams that the handler rejects, by reason.
 
     Returns
     -------
     callable
-        To be registered with the event loop.
+        Reader for `start_reading`.
     """
-    receive = opened.recvfrom
+    receive = sock.recvfrom
 
-    def drain() -> None:
+    def read_batch() -> None:
         for _ in range(BATCH_COUNT):
             try:
-                data, source = receive(_READ_BYTES)
+                data, source = receive(_RECEIVE_BYTES)
             except (BlockingIOError, ConnectionError):
                 return
             try:
@@ -78,56 +78,56 @@
             except SealError:
                 counters["dropped_forged"] += 1
             except Exception:
-                # One datagram must never end the process, whatever is in it.
+                # A fault in handling one datagram must not stop the process.
                 counters["dropped_by_fault"] += 1
                 log.exception(Event.DATAGRAM_FAILED)
 
-    return drain
+    return read_batch
 
 
-def start_reading(opened: socket.socket, reader: Callable[[], None]) -> None:
-    """Register a socket's reader with the running event loop.
+def start_reading(sock: socket.socket, reader: Callable[[], None]) -> None:
+    """Register the reader of a socket with the running event loop.
 
     Parameters
     ----------
-    opened : socket.socket
-        The socket.
+    sock : socket.socket
+        Socket to read.
     reader : callable
-        What `drain_into` made.
+        Function returned by `drain_into`.
     """
-    asyncio.get_running_loop().add_reader(opened.fileno(), reader)
+    asyncio.get_running_loop().add_reader(sock.fileno(), reader)
 
 
-def stop_reading(opened: socket.socket) -> None:
+def stop_reading(sock: socket.socket) -> None:
     """Unregister and close a socket.
 
     Parameters
     ----------
-    opened : socket.socket
-        The socket.
+    sock : socket.socket
+        Socket to close.
     """
-    asyncio.get_running_loop().remove_reader(opened.fileno())
-    opened.close()
+    asyncio.get_running_loop().remove_reader(sock.fileno())
+    sock.close()
 
 
 def send_or_count(
-    opened: socket.socket, counters: Counters
+    sock: socket.socket, counters: Counters
 ) -> Callable[[bytes, tuple[str, int]], None]:
-    """Make a function that sends a datagram and counts what the kernel refuses.
+    """Return a function that sends a datagram and counts send errors.
 
     Parameters
     ----------
-    opened : socket.socket
-        The socket.
+    sock : socket.socket
+        Socket to send from.
     counters : Counters
-        Counts ``send_failed``.
+        Counts errors as ``send_failed``.
 
     Returns
     -------
     callable
-        Takes the datagram and where to send it.
+        Sends a datagram to an address.
     """
-    send_to = opened.sendto
+    send_to = sock.sendto
 
     def send(data: bytes, target: tuple[str, int]) -> None:
         try:
--- a/src/agatethread/timing/__init__.py
+++ b/src/agatethread/timing/__init__.py
@@ -1,4 +1,4 @@
-"""Timer service that the other parts subscribe to."""
+"""Timer service for periodic calls."""
 
 from agatethread.timing._service import TimerService
 
--- a/src/agatethread/timing/_service.py
+++ b/src/agatethread/timing/_service.py
@@ -1,4 +1,4 @@
-"""Periodic and one-off calls on the process's monotonic clock."""
+"""Timer service that calls functions periodically on the event loop."""
 
 import asyncio
 import time
@@ -10,26 +10,26 @@
 
 
 class TimerService(Service):
-    """Calls subscribers at intervals; all are dropped when the service stops."""
+    """Calls subscribers periodically until the service stops."""
 
     def __init__(self) -> None:
         super().__init__()
         self._handles: dict[int, asyncio.TimerHandle] = {}
-        self._next_id = 0
+        self._next_timer_id = 0
 
     @staticmethod
     def now_s() -> float:
-        """Read the monotonic clock.
+        """Return the time of the monotonic clock.
 
         Returns
         -------
         float
-            Seconds; the clock goes on while the process is stopped by a signal.
+            Seconds; time goes on while the process is stopped by a signal.
         """
         return time.monotonic()
 
     def subscribe(self, interval_s: float, callback: Callable[[], None]) -> Cancel:
-        """Call a function at an interval.
+        """Call a function periodically.
 
         Parameters
         ----------
@@ -41,21 +41,23 @@
         Returns
         -------
         callable
-            Ends the subscription.
+            Cancels the subscription.
         """
-        timer_id = self._next_id
-        self._next_id += 1
+        timer_id = self._next_timer_id
+        self._next_timer_id += 1
 
-        def run() -> None:
-            self._arm(timer_id, interval_s, run)
+        def run_and_reschedule() -> None:
+            self._schedule(timer_id, interval_s, run_and_reschedule)
             callback()
 
-        self._arm(timer_id, interval_s, run)
+        self._schedule(timer_id, interval_s, run_and_reschedule)
         return lambda: self._cancel(timer_id)
 
-    def _arm(self, timer_id: int, delay_s: float, run: Callable[[], None]) -> None:
+    def _schedule(
+        self, timer_id: int, delay_s: float, callback: Callable[[], None]
+    ) -> None:
         loop = asyncio.get_running_loop()
-        self._handles[timer_id] = loop.call_later(delay_s, run)
+        self._handles[timer_id] = loop.call_later(delay_s, callback)
 
     def _cancel(self, timer_id: int) -> None:
         handle = self._handles.pop(timer_id, None)
@@ -63,6 +65,6 @@
             handle.cancel()
 
     async def on_stop(self) -> None:
-        """Drop every subscription."""
+        """Cancel every subscription."""
         for timer_id in list(self._handles):
             self._cancel(timer_id)
--- a/src/agatethread/transfer/__init__.py
+++ b/src/agatethread/transfer/__init__.py
@@ -1,4 +1,4 @@
-"""Messages too large for one datagram: split, put together whole, or not at all."""
+"""Split messages into fragments and reassemble them."""
 
 from agatethread.transfer._assembler import Assembler, Partial
 from agatethread.transfer._outbox import Outbox
--- a/src/agatethread/transfer/_assembler.py
+++ b/src/agatethread/transfer/_assembler.py
@@ -1,4 +1,4 @@
-"""Put fragments together, within bounds of memory and time."""
+"""Reassemble messages from fragments, with limits on memory and time."""
 
 from collections import Counter
 from collections.abc import Callable, Hashable
@@ -10,57 +10,57 @@
 from agatethread.transfer._splitting import FRAGMENT_BYTES, MAX_MESSAGE_BYTES
 from agatethread.wire import Envelope
 
-#: Silence after which missing fragments are asked for.
-_QUIET_S = 0.05
-#: Silence after which a message is given up.
-_ABANDONED_S = 10.0
-#: Indices in one request for missing fragments.
+#: Time without a fragment after which missing ones are requested.
+_REQUEST_DELAY_S = 0.05
+#: Time without a fragment after which a message is dropped.
+_MESSAGE_TIMEOUT_S = 10.0
+#: Limit of indices in one request for missing fragments.
 MISSING_IN_DATAGRAM = 128
 
 
 @dataclass(eq=False)
 class Partial:
-    """A message of which fragments are missing."""
+    """Incomplete message with the fragments received so far."""
 
     first: Envelope
     source: bytes
-    heard_s: float
-    asked_s: float = 0.0
-    parts: dict[int, bytes] = field(default_factory=dict)
+    last_fragment_s: float
+    last_request_s: float = 0.0
+    payloads: dict[int, bytes] = field(default_factory=dict)
 
     @property
     def reserved_bytes(self) -> int:
-        """Memory set aside for it."""
+        """Memory reserved for the message."""
         return self.first.fragment_count * FRAGMENT_BYTES
 
     def missing(self) -> list[int]:
-        """List the first fragments that are missing.
+        """Return the indices of missing fragments.
 
         Returns
         -------
         list of int
-            Indices, as many as fit in a datagram.
+            The lowest ones, as many as fit in a datagram.
         """
-        found = []
+        indices = []
         for index in range(self.first.fragment_count):
-            if index not in self.parts:
-                found.append(index)
-                if len(found) == MISSING_IN_DATAGRAM:
+            if index not in self.payloads:
+                indices.append(index)
+                if len(indices) == MISSING_IN_DATAGRAM:
                     break
-        return found
+        return indices
 
 
 class Assembler:
-    """Messages on their way, by key.
+    """Reassembles messages, identified by key.
 
     Parameters
     ----------
     now_s : callable
         Monotonic clock.
     limit_bytes : int
-        Memory for all messages together.
+        Memory limit for all messages.
     source_limit_bytes : int
-        Memory for the messages of one source.
+        Memory limit for the messages of one source.
     """
 
     def __init__(
@@ -70,116 +70,125 @@
         self._limit_bytes = limit_bytes
         self._source_limit_bytes = source_limit_bytes
         self._partials: dict[Hashable, Partial] = {}
-        self._by_source: Counter[bytes] = Counter()
+        self._reserved_by_source: Counter[bytes] = Counter()
         self.reserved_bytes = 0
 
     def add(self, key: Hashable, source: bytes, envelope: Envelope) -> Envelope | None:
-        """Take a message or a fragment of one.
+        """Add a fragment and return its message once it is complete.
 
         Parameters
         ----------
         key : hashable
-            Names the message.
+            Key of the message.
         source : bytes
-            Whom to count its memory to.
+            Source that its memory is counted for.
         envelope : Envelope
-            A whole message or a fragment.
+            Fragment, or an unfragmented message, which is returned at once.
 
         Returns
         -------
         Envelope or None
-            The whole message, once it is complete and its checksum right.
+            The complete message, or None while fragments are missing.
 
         Raises
         ------
         DatagramError
-            If the fragment makes no sense, or the whole is not what was sent.
+            If the fragment does not match its message, or the checksum is wrong.
         TransferLimitError
-            If there is no memory left for it.
+            If a size or memory limit would be exceeded.
         """
         if not envelope.fragment_count:
             return envelope
 
         partial = self._partials.get(key)
         if partial is None:
-            partial = self._begin(key, source, envelope)
-        self._check(partial, envelope)
-        partial.heard_s = self._now_s()
-        partial.parts[envelope.fragment_index] = envelope.payload
-        if len(partial.parts) < partial.first.fragment_count:
+            partial = self._start_message(key, source, envelope)
+        self._check_fragment(partial, envelope)
+        partial.last_fragment_s = self._now_s()
+        partial.payloads[envelope.fragment_index] = envelope.payload
+        if len(partial.payloads) < partial.first.fragment_count:
             return None
-        return self._finish(key, partial)
+        return self._join_fragments(key, partial)
 
-    def _begin(self, key: Hashable, source: bytes, envelope: Envelope) -> Partial:
+    def _start_message(
+        self, key: Hashable, source: bytes, envelope: Envelope
+    ) -> Partial:
         partial = Partial(envelope, source, self._now_s())
-        size = partial.reserved_bytes
-        if size > MAX_MESSAGE_BYTES + FRAGMENT_BYTES:
-            raise TransferLimitError("larger than any message may be")
-        if self.reserved_bytes + size > self._limit_bytes:
-            raise TransferLimitError("no memory left for messages in fragments")
-        if self._by_source[source] + size > self._source_limit_bytes:
-            raise TransferLimitError("no memory left for this source's messages")
+        size_bytes = partial.reserved_bytes
+        if size_bytes > MAX_MESSAGE_BYTES + FRAGMENT_BYTES:
+            raise TransferLimitError("message exceeds the size limit")
+        if self.reserved_bytes + size_bytes > self._limit_bytes:
+            raise TransferLimitError("memory limit for fragmented messages reached")
+        if self._reserved_by_source[source] + size_bytes > self._source_limit_bytes:
+            raise TransferLimitError("memory limit for messages of this source reached")
 
         self._partials[key] = partial
-        self._by_source[source] += size
-        self.reserved_bytes += size
+        self._reserved_by_source[source] += size_bytes
+        self.reserved_bytes += size_bytes
         return partial
 
     @staticmethod
-    def _check(partial: Partial, envelope: Envelope) -> None:
+    def _check_fragment(partial: Partial, envelope: Envelope) -> None:
         first = partial.first
-        same = (envelope.fragment_count, envelope.checksum) == (
+        is_same_message = (envelope.fragment_count, envelope.checksum) == (
             first.fragment_count,
             first.checksum,
         )
-        sized = len(envelope.payload) <= FRAGMENT_BYTES
-        if not same or not sized or envelope.fragment_index >= first.fragment_count:
+        is_valid_size = len(envelope.payload) <= FRAGMENT_BYTES
+        if (
+            not is_same_message
+            or not is_valid_size
+            or envelope.fragment_index >= first.fragment_count
+        ):
             raise DatagramError("wrong fragment")
 
-    def _finish(self, key: Hashable, partial: Partial) -> Envelope:
+    def _join_fragments(self, key: Hashable, partial: Partial) -> Envelope:
         self.drop(key)
         count = partial.first.fragment_count
-        payload = b"".join(partial.parts[index] for index in range(count))
+        payload = b"".join(partial.payloads[index] for index in range(count))
         if xxh64_intdigest(payload) != partial.first.checksum:
             raise DatagramError("wrong checksum")
 
-        whole = Envelope()
-        whole.CopyFrom(partial.first)
-        for name in ("fragment_index", "fragment_count", "checksum"):
-            whole.ClearField(name)
-        whole.payload = payload
-        return whole
+        message = Envelope()
+        message.CopyFrom(partial.first)
+        for field_name in ("fragment_index", "fragment_count", "checksum"):
+            message.ClearField(field_name)
+        message.payload = payload
+        return message
 
     def drop(self, key: Hashable) -> None:
-        """Give up a message, or free its memory.
+        """Drop a message and release its memory.
 
         Parameters
         ----------
         key : hashable
-            Names the message.
+            Key of the message.
         """
         partial = self._partials.pop(key, None)
         if partial is None:
             return
         self.reserved_bytes -= partial.reserved_bytes
-        self._by_source[partial.source] -= partial.reserved_bytes
-        if not self._by_source[partial.source]:
-            del self._by_source[partial.source]
+        self._reserved_by_source[partial.source] -= partial.reserved_bytes
+        if not self._reserved_by_source[partial.source]:
+            del self._reserved_by_source[partial.source]
 
     def take_quiet(self) -> list[tuple[Partial, list[int]]]:
-        """List what to ask for again, and give up what is long silent.
+        """Return the due requests for missing fragments, and drop abandoned messages.
 
         Returns
         -------
         list of (Partial, list of int)
-            Messages with the indices that are missing.
+            Incomplete messages with the indices of missing fragments.
         """
         now_s = self._now_s()
         due = []
         for key, partial in list(self._partials.items()):
-            if now_s - partial.heard_s > _ABANDONED_S:
+            if now_s - partial.last_fragment_s > _MESSAGE_TIMEOUT_S:
                 self.drop(key)
-            elif now_s - max(partial.heard_s, partial.asked_s) > _QUIET_S:
-                partial.asked_s = now_s
+            elif (
+                now_s - max(partial.last_fragment_s, partial.last_request_s)
+                > _REQUEST_DELAY_S
+            ):
+                partial.last_request_s = now_s
                 due.append((partial, partial.missing()))
         return due
--- a/src/agatethread/transfer/_outbox.py
+++ b/src/agatethread/transfer/_outbox.py
@@ -1,42 +1,42 @@
-"""Fragments that were sent and may be asked for again, paced in bursts."""
+"""Send fragments in paced bursts and store them for retransmission."""
 
 import asyncio
 from collections import deque
 from collections.abc import Callable, Hashable, Iterable
 
-_BURST_COUNT = 32
+_BURST_DATAGRAM_COUNT = 32
 _BURST_INTERVAL_S = 0.002
 
 Send = Callable[[bytes], None]
 
 
 class Outbox:
-    """Messages whose fragments are kept until they are done with."""
+    """Sends messages and stores their fragments until they are complete."""
 
     def __init__(self) -> None:
-        self._kept: dict[Hashable, tuple[list[bytes], Send]] = {}
+        self._stored: dict[Hashable, tuple[list[bytes], Send]] = {}
         self._queue: deque[tuple[bytes, Send]] = deque()
-        self._draining = False
+        self._is_sending = False
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._stored)
 
     def start(self, key: Hashable, datagrams: list[bytes], send: Send) -> None:
-        """Send a message, and keep its fragments if it has several.
+        """Send a message, and store its fragments if there are several.
 
         Parameters
         ----------
         key : hashable
-            Names the message.
+            Key of the message.
         datagrams : list of bytes
-            What `split` returned.
+            Datagrams of the message, from `split`.
         send : callable
             Sends one datagram.
         """
         if len(datagrams) == 1:
             send(datagrams[0])
             return
-        self._kept[key] = (datagrams, send)
+        self._stored[key] = (datagrams, send)
         self._enqueue(datagrams, send)
 
     def resend(self, key: Hashable, indices: Iterable[int]) -> None:
@@ -45,49 +45,49 @@
         Parameters
         ----------
         key : hashable
-            Names the message; one not kept any more is ignored.
+            Key of the message; an unknown one is ignored.
         indices : iterable of int
-            Which ones.
+            Indices of the fragments.
         """
-        kept = self._kept.get(key)
-        if kept is None:
+        stored = self._stored.get(key)
+        if stored is None:
             return
-        datagrams, send = kept
-        wanted = [datagrams[index] for index in indices if index < len(datagrams)]
-        self._enqueue(wanted, send)
+        datagrams, send = stored
+        requested = [datagrams[index] for index in indices if index < len(datagrams)]
+        self._enqueue(requested, send)
 
     def done(self, key: Hashable) -> None:
-        """Drop a message's fragments.
+        """Delete the stored fragments of a message.
 
         Parameters
         ----------
         key : hashable
-            Names the message.
+            Key of the message.
         """
-        self._kept.pop(key, None)
+        self._stored.pop(key, None)
 
     def send_paced(self, datagrams: list[bytes], send: Send) -> None:
-        """Send datagrams in bursts, without keeping them.
+        """Send datagrams in bursts, without storing them.
 
         Parameters
         ----------
         datagrams : list of bytes
-            What to send.
+            Datagrams to send.
         send : callable
-            Sends one.
+            Sends one datagram.
         """
         self._enqueue(datagrams, send)
 
     def _enqueue(self, datagrams: list[bytes], send: Send) -> None:
         self._queue.extend((datagram, send) for datagram in datagrams)
-        if not self._draining:
-            self._drain()
+        if not self._is_sending:
+            self._send_burst()
 
-    def _drain(self) -> None:
-        for _ in range(min(_BURST_COUNT, len(self._queue))):
+    def _send_burst(self) -> None:
+        for _ in range(min(_BURST_DATAGRAM_COUNT, len(self._queue))):
             datagram, send = self._queue.popleft()
             send(datagram)
-        self._draining = bool(self._queue)
-        if self._draining:
+        self._is_sending = bool(self._queue)
+        if self._is_sending:
             loop = asyncio.get_running_loop()
-            loop.call_later(_BURST_INTERVAL_S, self._drain)
+            loop.call_later(_BURST_INTERVAL_S, self._send_burst)
--- a/src/agatethread/transfer/_splitting.py
+++ b/src/agatethread/transfer/_splitting.py
@@ -1,39 +1,40 @@
-"""Split a message into fragments, each a whole envelope."""
+"""Split a message into fragments, each of which is a complete envelope."""
 
 from xxhash import xxh64_intdigest
 
 from agatethread.exceptions import PayloadTooLargeError
 from agatethread.wire import MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, Envelope
 
-#: Payload of a fragment; leaves room for labels.
+#: Payload size of a fragment; leaves space for labels in the datagram.
 FRAGMENT_BYTES = 900
-#: Largest payload of a message.
 MAX_MESSAGE_BYTES = 8 << 20
 
 
 def split(envelope: Envelope) -> list[bytes]:
-    """Serialize a message into as many datagrams as it needs.
+    """Return the serialized datagrams of a message.
 
     Parameters
     ----------
     envelope : Envelope
-        The message.
+        Message.
 
     Returns
     -------
     list of bytes
-        Datagrams; one if it is small.
+        One datagram, or one for each fragment.
 
     Raises
     ------
     PayloadTooLargeError
-        If it is larger than any message may be.
+        If the payload exceeds the message size limit.
     """
     payload = envelope.payload
     if len(payload) <= MAX_PAYLOAD_BYTES:
         return [envelope.SerializeToString()]
     if len(payload) > MAX_MESSAGE_BYTES:
-        raise PayloadTooLargeError(f"{len(payload)} bytes of {MAX_MESSAGE_BYTES}")
+        raise PayloadTooLargeError(
+            f"payload of {len(payload)} bytes exceeds {MAX_MESSAGE_BYTES} bytes"
+        )
 
     fragment = Envelope()
     fragment.CopyFrom(envelope)
@@ -49,17 +50,17 @@
 
 
 def split_datagram(data: bytes) -> list[bytes]:
-    """Split a serialized message, if one datagram can't carry it.
+    """Split a serialized message if it exceeds the datagram size.
 
     Parameters
     ----------
     data : bytes
-        The message.
+        Serialized message.
 
     Returns
     -------
     list of bytes
-        Datagrams.
+        Datagrams of the message.
     """
     if len(data) <= MAX_DATAGRAM_BYTES:
         return [data]
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -16,7 +16,7 @@
 
 
 class FakeService:
-    """Answers each kind of datagram as a test says."""
+    """Service double that answers each kind of datagram with prepared replies."""
 
     def __init__(self, **answers):
         self.answers = answers
@@ -68,16 +68,16 @@
             ),
         )
 
-    def test_resends_until_the_answer(self):
-        """Lost datagrams are sent again under the same operation id."""
+    def test_resends_lost_request_with_same_operation_id(self):
+        """A request without an answer is sent again with the same operation id."""
         answer = Envelope(kind=Kind.ANSWER, payload=b"y")
         service = FakeService(HELLO=[None, welcome()], REQUEST=[None, None, answer])
         self.assertEqual(self.request(service), b"y")
         ids = {e.operation_id for e in service.sent if e.kind == Kind.REQUEST}
         self.assertEqual(len(ids), 1)
 
-    def test_moved_is_sent_anew_under_another_id(self):
-        """What was refused as moved did not run, and is sent with a new id."""
+    def test_retries_moved_request_with_new_operation_id(self):
+        """A request refused as moved did not run and is sent with a new id."""
         moved = Envelope(
             kind=Kind.REFUSED, reason=Reason.MOVED, retry_after_ms=1, token=TOKEN
         )
@@ -87,8 +87,8 @@
         ids = {e.operation_id for e in service.sent if e.kind == Kind.REQUEST}
         self.assertEqual(len(ids), 2)
 
-    def test_refusal_says_when_to_come_back(self):
-        """A refusal is raised at once, with its reason and time."""
+    def test_raises_refusal_with_reason_and_retry_delay(self):
+        """A refusal is raised at once with its reason and retry delay."""
         refused = Envelope(
             kind=Kind.REFUSED, reason=Reason.OVERLOADED, retry_after_ms=250
         )
@@ -98,13 +98,13 @@
         self.assertEqual(caught.exception.retry_after_s, 0.25)
         self.assertEqual(caught.exception.reason, "OVERLOADED")
 
-    def test_silence_is_unknown(self):
-        """A request that got no verdict by its deadline is unknown, not refused."""
+    def test_raises_unknown_after_deadline(self):
+        """A request without a verdict by its deadline is unknown, not refused."""
         with self.assertRaises(OperationUnknownError):
             self.request(FakeService(HELLO=[welcome()]))
 
-    def test_unknown_is_never_sent_again_unless_idempotent(self):
-        """Only an idempotent request is sent anew after an unknown outcome."""
+    def test_retries_unknown_outcome_only_if_idempotent(self):
+        """Only an idempotent request is retried after an unknown outcome."""
         unknown = Envelope(kind=Kind.UNKNOWN, reason=Reason.HOME_LOST, token=TOKEN)
         answer = Envelope(kind=Kind.ANSWER, payload=b"y")
         service = FakeService(HELLO=[welcome()], REQUEST=[unknown, answer])
@@ -113,8 +113,8 @@
         service = FakeService(HELLO=[welcome()], REQUEST=[unknown, answer])
         self.assertEqual(self.request(service, idempotent=True), b"y")
 
-    def test_unknown_first_try_is_not_hidden(self):
-        """After an unknown try neither a refusal nor silence means that none ran."""
+    def test_raises_unknown_after_unknown_first_attempt(self):
+        """A refusal or timeout after an unknown attempt is still unknown."""
         unknown = Envelope(kind=Kind.UNKNOWN, reason=Reason.DEADLINE, token=TOKEN)
         refused = Envelope(kind=Kind.REFUSED, reason=Reason.OVERLOADED)
         service = FakeService(HELLO=[welcome()], REQUEST=[unknown, refused])
@@ -134,8 +134,8 @@
         with self.assertRaises(OperationUnknownError):
             run(service, scenario)
 
-    def test_unreachable_is_tried_through_others(self):
-        """An instance that reaches neither owner nor standby settles nothing alone."""
+    def test_retries_unreachable_owner_through_other_instances(self):
+        """A few unreachable hints do not end a request, many in a row do."""
         hint = Envelope(kind=Kind.UNREACHABLE, token=TOKEN)
         answer = Envelope(kind=Kind.ANSWER, payload=b"y")
         service = FakeService(HELLO=[welcome()], REQUEST=[hint] * 3 + [answer])
@@ -144,8 +144,8 @@
         with self.assertRaisesRegex(OperationUnknownError, "HOME_LOST"):
             self.request(service)
 
-    def test_nobody_there(self):
-        """Without any instance the request is not sent, and that is said."""
+    def test_raises_unavailable_without_reachable_instance(self):
+        """Without a reachable instance the request is not sent."""
         service = FakeService()
         with self.assertRaises(UnavailableError):
             self.request(service)
@@ -155,39 +155,41 @@
 class TestStream(unittest.TestCase):
     OPENED = Envelope(kind=Kind.OPENED, cookie=b"c")
 
-    def test_pushes_come_in_order_and_once(self):
-        """Pushes that come late, crossed or twice are handed over in order."""
+    def test_returns_pushes_once_and_in_order(self):
+        """Delayed, reordered and duplicated pushes are returned once and in order."""
 
         async def scenario(client):
             stream = await client.open_stream("tab")
-            for number in (2, 1, 1, 4, 2, 3):
+            for sequence in (2, 1, 1, 4, 2, 3):
                 push = Envelope(
                     kind=Kind.PUSH,
                     flow_id=stream.flow_id,
-                    sequence=number,
-                    payload=b"%d" % number,
+                    sequence=sequence,
+                    payload=b"%d" % sequence,
                 )
                 client.datagram_received(push.SerializeToString(), ("", 0))
             return [await anext(stream) for _ in range(4)]
 
-        got = run(FakeService(OPEN=[None, self.OPENED]), scenario)
-        self.assertEqual(got, [b"1", b"2", b"3", b"4"])
+        pushes = run(FakeService(OPEN=[None, self.OPENED]), scenario)
+        self.assertEqual(pushes, [b"1", b"2", b"3", b"4"])
 
-    def test_second_placement_is_closed(self):
-        """If two backend servers opened one flow, the second is closed."""
+    def test_closes_second_placement_of_flow(self):
+        """If two backend servers opened one flow, the second one is closed."""
 
         async def scenario(client):
             stream = await client.open_stream("tab")
-            twice = Envelope(kind=Kind.OPENED, flow_id=stream.flow_id, cookie=b"other")
-            client.datagram_received(twice.SerializeToString(), ("", 0))
+            duplicate = Envelope(
+                kind=Kind.OPENED, flow_id=stream.flow_id, cookie=b"other"
+            )
+            client.datagram_received(duplicate.SerializeToString(), ("", 0))
 
         service = FakeService(OPEN=[self.OPENED])
         run(service, scenario)
         closed = [e.cookie for e in service.sent if e.kind == Kind.CLOSE]
         self.assertEqual(closed[0], b"other")
 
-    def test_reset_is_raised(self):
-        """A flow whose backend server died raises FlowBrokenError."""
+    def test_raises_flow_broken_after_reset(self):
+        """A reset flow raises FlowBrokenError with the reason."""
 
         async def scenario(client):
             stream = await client.open_stream("tab")
@@ -200,8 +202,8 @@
         with self.assertRaisesRegex(FlowBrokenError, "ENDPOINT_GONE"):
             run(FakeService(OPEN=[self.OPENED]), scenario)
 
-    def test_oversized_payload_is_refused(self):
-        """What does not fit in a datagram is refused before it is sent."""
+    def test_rejects_payload_larger_than_datagram(self):
+        """A payload that does not fit in a datagram is rejected before sending."""
 
         async def scenario(client):
             stream = await client.open_stream("tab")
--- a/tests/rpc/test_tls.py
+++ b/tests/rpc/test_tls.py
@@ -19,7 +19,7 @@
 from tests.fakes import free_port
 
 
-def make_name(text):
+def make_x509_name(text):
     return x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, text)])
 
 
@@ -30,8 +30,8 @@
     )
     return (
         x509.CertificateBuilder()
-        .subject_name(make_name(subject))
-        .issuer_name(make_name(issuer))
+        .subject_name(make_x509_name(subject))
+        .issuer_name(make_x509_name(issuer))
         .public_key(key.public_key())
         .serial_number(x509.random_serial_number())
         .not_valid_before(now - datetime.timedelta(hours=1))
@@ -43,7 +43,7 @@
 
 
 def write_keys(folder):
-    """Make an authority and a certificate from it; return their files."""
+    """Write an authority, a certificate and its key; return the paths."""
     folder.mkdir()
     authority_key = ec.generate_private_key(ec.SECP256R1())
     authority = make_certificate("ca", authority_key, "ca", authority_key, True)
@@ -68,15 +68,15 @@
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.folder = Path(folder.name)
-        self.ours = write_keys(self.folder / "ours")
-        self.theirs = write_keys(self.folder / "theirs")
+        self.own = write_keys(self.folder / "own")
+        self.foreign = write_keys(self.folder / "foreign")
         self.address = format_address(("127.0.0.1", free_port()))
 
     def dump(self, tls):
         return dump_instance(ControlTarget((), 2.0, tls), self.address)
 
     def run_server(self, scenario):
-        settings = Settings("e", "a", ("entry",), self.address, tls=self.ours)
+        settings = Settings("e", "a", ("entry",), self.address, tls=self.own)
 
         async def main():
             server = AdminServer(settings, lambda: {"instance": "e"})
@@ -88,40 +88,40 @@
 
         asyncio.run(main())
 
-    def test_only_a_peer_with_our_authority_gets_anything(self):
-        """A valid key is served; another authority's, or none, gets nothing."""
+    def test_serves_only_peers_with_certificate_of_own_authority(self):
+        """A peer without a certificate of the own authority is rejected."""
 
         async def scenario():
-            self.assertEqual(await self.dump(self.ours), {"instance": "e"})
-            for tls in (self.theirs, None):
+            self.assertEqual(await self.dump(self.own), {"instance": "e"})
+            for tls in (self.foreign, None):
                 with self.assertRaises(UnavailableError):
                     await self.dump(tls)
-            bare = grpc.aio.secure_channel(
+            channel = grpc.aio.secure_channel(
                 self.address,
                 grpc.ssl_channel_credentials(
-                    Path(self.ours.authority_file).read_bytes()
+                    Path(self.own.authority_file).read_bytes()
                 ),
             )
-            async with bare:
+            async with channel:
                 with self.assertRaises(grpc.aio.AioRpcError):
-                    call = bare.unary_unary("/agatethread.wire.Inspection/Dump")
+                    call = channel.unary_unary("/agatethread.wire.Inspection/Dump")
                     await call(b"", timeout=2)
 
         self.run_server(scenario)
 
-    def test_changed_keys_are_read_without_a_restart(self):
-        """After the key files are replaced, only the new authority's keys work."""
+    def test_reads_replaced_key_files_without_restart(self):
+        """After the key files are replaced, only the new authority is accepted."""
 
         async def scenario():
-            await self.dump(self.ours)
-            old = self.folder / "old"
-            shutil.copytree(self.folder / "ours", old)
-            for path in (self.folder / "theirs").iterdir():
-                shutil.copy(path, self.folder / "ours" / path.name)
-            self.assertEqual(await self.dump(self.theirs), {"instance": "e"})
+            await self.dump(self.own)
+            old_folder = self.folder / "old"
+            shutil.copytree(self.folder / "own", old_folder)
+            for path in (self.folder / "foreign").iterdir():
+                shutil.copy(path, self.folder / "own" / path.name)
+            self.assertEqual(await self.dump(self.foreign), {"instance": "e"})
             names = ("cert.pem", "key.pem", "ca.pem")
-            stale = TlsSettings(*(str(old / name) for name in names))
+            old_tls = TlsSettings(*(str(old_folder / name) for name in names))
             with self.assertRaises(UnavailableError):
-                await self.dump(stale)
+                await self.dump(old_tls)
 
         self.run_server(scenario)
--- a/tests/transfer/test_transfer.py
+++ b/tests/transfer/test_transfer.py
@@ -37,39 +37,40 @@
 
 class TestSplit(unittest.TestCase):
     @given(st.integers(0, 200_000))
-    def test_every_fragment_fits_in_a_datagram(self, size):
-        """Whatever the size, each datagram is below the limit."""
+    def test_fragments_fit_in_a_datagram(self, size):
+        """No datagram of a message of any size exceeds the limit."""
         for datagram in split(message(size)):
             self.assertLessEqual(len(datagram), MAX_DATAGRAM_BYTES)
 
-    def test_too_large_is_refused(self):
-        """A message above the largest size is refused before it is sent."""
+    def test_rejects_oversized_message(self):
+        """A message above the size limit is rejected before it is sent."""
         with self.assertRaises(PayloadTooLargeError):
             split(message(MAX_MESSAGE_BYTES + 1))
 
 
 class TestAssembler(unittest.TestCase):
     @given(st.integers(0, 30_000), st.randoms(use_true_random=False), st.data())
-    def test_whole_or_nothing(self, size, chance, data):
-        """Fragments lost, twice or crossed give the whole message or none."""
+    def test_returns_complete_message_or_none(self, size, rng, data):
+        """Lost, duplicated or reordered fragments never give a wrong message."""
         sent = message(size)
         datagrams = split(sent)
-        arrived = [d for d in datagrams if chance.random() < 0.7]
-        arrived += [d for d in datagrams if chance.random() < 0.3]
-        chance.shuffle(arrived)
+        arrived = [datagram for datagram in datagrams if rng.random() < 0.7]
+        arrived += [datagram for datagram in datagrams if rng.random() < 0.3]
+        rng.shuffle(arrived)
         receiver = assembler()
-        wholes = [
-            receiver.add("key", b"caller", Envelope.FromString(d)) for d in arrived
+        messages = [
+            receiver.add("key", b"caller", Envelope.FromString(datagram))
+            for datagram in arrived
         ]
-        for whole in filter(None, wholes):
-            self.assertEqual(whole, sent)
+        for completed in filter(None, messages):
+            self.assertEqual(completed, sent)
         if set(arrived) == set(datagrams):
-            self.assertTrue(any(wholes))
+            self.assertTrue(any(messages))
         else:
-            self.assertFalse(any(wholes))
+            self.assertFalse(any(messages))
 
-    def test_what_is_missing_is_asked_for_and_then_whole(self):
-        """After a short silence the missing fragments are named."""
+    def test_requests_missing_fragments_after_delay(self):
+        """Missing fragments are requested once and complete the message."""
         clock = Clock()
         receiver = assembler(clock)
         datagrams = split(message(10 * FRAGMENT_BYTES))
@@ -81,29 +82,31 @@
         self.assertEqual(missing, [2, 3, 5, 6, 7, 8])
         self.assertEqual(receiver.take_quiet(), [])
         for index in missing:
-            whole = receiver.add("key", b"c", Envelope.FromString(datagrams[index]))
-        self.assertEqual(whole.payload, message(10 * FRAGMENT_BYTES).payload)
+            completed = receiver.add("key", b"c", Envelope.FromString(datagrams[index]))
+        self.assertEqual(completed.payload, message(10 * FRAGMENT_BYTES).payload)
         self.assertEqual(receiver.reserved_bytes, 0)
 
-    def test_changed_content_is_not_handed_over(self):
-        """A fragment whose content changed on the way spoils the message."""
-        datagrams = [Envelope.FromString(d) for d in split(message(3_000))]
+    def test_rejects_message_with_wrong_checksum(self):
+        """A message with a corrupted fragment is rejected."""
+        datagrams = [
+            Envelope.FromString(datagram) for datagram in split(message(3_000))
+        ]
         datagrams[1].payload = bytes(len(datagrams[1].payload))
         receiver = assembler()
         with self.assertRaisesRegex(DatagramError, "checksum"):
             for fragment in datagrams:
                 receiver.add("key", b"c", fragment)
 
-    def test_fragments_of_two_messages_do_not_mix(self):
-        """A fragment of another message under the same key is refused."""
+    def test_rejects_fragment_of_other_message(self):
+        """A fragment of another message with the same key is rejected."""
         receiver = assembler()
-        one, other = split(message(3_000, 1)), split(message(3_000, 2))
-        receiver.add("key", b"c", Envelope.FromString(one[0]))
+        first, second = split(message(3_000, 1)), split(message(3_000, 2))
+        receiver.add("key", b"c", Envelope.FromString(first[0]))
         with self.assertRaises(DatagramError):
-            receiver.add("key", b"c", Envelope.FromString(other[1]))
+            receiver.add("key", b"c", Envelope.FromString(second[1]))
 
-    def test_memory_is_bounded_for_each_source_and_in_all(self):
-        """Past either bound a new message is refused, and those begun go on."""
+    def test_limits_memory_per_source_and_in_total(self):
+        """A new message above a memory limit is rejected, earlier ones complete."""
         receiver = assembler(limit=30_000, source_limit=15_000)
         first = split(message(10_000))
         receiver.add(1, b"a", Envelope.FromString(first[0]))
@@ -114,11 +117,11 @@
         with self.assertRaises(TransferLimitError):
             receiver.add(3, b"c", fragment)
         for datagram in first:
-            whole = receiver.add(1, b"a", Envelope.FromString(datagram))
-        self.assertIsNotNone(whole)
+            completed = receiver.add(1, b"a", Envelope.FromString(datagram))
+        self.assertIsNotNone(completed)
 
-    def test_claimed_size_is_bounded(self):
-        """A fragment that claims a huge message reserves nothing."""
+    def test_rejects_oversized_fragment_count(self):
+        """A fragment of an oversized message reserves no memory."""
         fragment = Envelope.FromString(split(message(3_000))[0])
         fragment.fragment_count = 2**31
         receiver = assembler(limit=1 << 40, source_limit=1 << 40)
@@ -126,8 +129,8 @@
             receiver.add("key", b"c", fragment)
         self.assertEqual(receiver.reserved_bytes, 0)
 
-    def test_abandoned_message_frees_its_memory(self):
-        """A message whose sender went away is dropped after a while."""
+    def test_drops_abandoned_message(self):
+        """A message without new fragments is dropped and its memory released."""
         clock = Clock()
         receiver = assembler(clock)
         receiver.add("key", b"c", Envelope.FromString(split(message(3_000))[0]))
@@ -137,15 +140,15 @@
 
 
 class TestOutbox(unittest.TestCase):
-    def test_bursts_are_paced_and_all_are_sent(self):
-        """A large message leaves in bursts, each fragment once, in order."""
+    def test_sends_all_fragments_in_paced_bursts(self):
+        """A large message is sent in bursts, each fragment once and in order."""
 
         async def main():
             sent = []
             outbox = Outbox()
             datagrams = [b"%d" % number for number in range(100)]
             outbox.start("key", datagrams, sent.append)
-            at_once = len(sent)
+            first_burst_count = len(sent)
             await asyncio.sleep(1)
             self.assertEqual(sent, datagrams)
             outbox.resend("key", [5, 99, 100])
@@ -153,7 +156,7 @@
             outbox.done("key")
             outbox.resend("key", [1])
             self.assertEqual(len(sent), 102)
-            return at_once
+            return first_burst_count
 
         with asyncio.Runner(loop_factory=VirtualLoop) as runner:
             self.assertLess(runner.run(main()), 50)
