--- a/src/agatethread/entry/__init__.py
+++ b/src/agatethread/entry/__init__.py
@@ -1,4 +1,4 @@
-"""Entry role: datagrams in from callers, out to backend servers, and back."""
+"""Entry role: forwards datagrams between callers and backend servers."""
 
 from agatethread.entry._documents import DocumentBook
 from agatethread.entry._instance import EntryInstance
--- a/src/agatethread/entry/_announcements.py
+++ b/src/agatethread/entry/_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements of backend servers: checked, told on, and their leases held."""
+"""Verify and forward announcements of backend servers, and expire their leases."""
 
 import random
 from collections.abc import Callable
@@ -20,30 +20,30 @@
     verify_signature,
 )
 
-#: The dispatcher and its standby hold the leases of a service.
-_HOLDER_COUNT = 2
-_INSTANCES_IN_ACK = 8
-_FALLBACKS_IN_ACK = 2
-_GONE_KEPT_S = 600.0
-_LONGEST_LEASE_MS = 600_000
-#: A sweep later than this means that the process did not run in between.
-_LONGEST_GAP_S = 0.8
+#: The leases of a service are held by its dispatcher and standby.
+_LEASE_HOLDER_COUNT = 2
+_ACK_INSTANCE_LIMIT_COUNT = 8
+_ACK_FALLBACK_LIMIT_COUNT = 2
+_GONE_RETENTION_S = 600.0
+_MAX_LEASE_MS = 600_000
+#: A longer time between sweeps means that the process was paused.
+_MAX_SWEEP_GAP_S = 0.8
 
 
-class AnnouncementDesk:
-    """Takes announcements from backend servers and from other instances.
+class AnnouncementHandler:
+    """Handles announcements from backend servers and from other instances.
 
-    An announcement that changes anything goes to every instance; one that only
-    refreshes a lease goes to the two instances that hold it.
+    An announcement with a change is forwarded to every instance; one that only
+    refreshes a lease is forwarded to the lease holders of the service.
 
     Parameters
     ----------
     entry : EntrySettings
-        Names the announcement key.
+        Settings with the path of the announcement key.
     members : MemberTable
-        The fleet.
+        Entry instances.
     endpoints : EndpointTable
-        Where announcements are kept.
+        Stores the announced backend servers.
     send_peer : callable
         Sends a message to an instance's packed address.
     send_backend : callable
@@ -51,9 +51,9 @@
     now_s : callable
         Monotonic clock.
     on_changed, on_gone : callable
-        Told of a backend server that changed or ended.
+        Called with a backend server that changed or ended.
     counters : Counters
-        Counts announcements by what they changed.
+        Counts announcements by their result.
     """
 
     def __init__(
@@ -68,7 +68,7 @@
         on_gone: Callable[[Endpoint], None],
         counters: Counters,
     ):
-        self._signers = (
+        self._announce_sealer = (
             load_sealer(entry.announce_key_file) if (entry.announce_key_file) else None
         )
         self._members = members
@@ -79,132 +79,143 @@
         self._on_changed = on_changed
         self._on_gone = on_gone
         self._counters = counters
-        self._swept_s = now_s()
-        self._held: set[str] = set()
-        self._domains: set[str] = set()
+        self._last_sweep_s = now_s()
+        self._held_services: set[str] = set()
+        self._live_domains: set[str] = set()
         members.subscribe(self._on_member_changed)
 
     def _on_member_changed(self, _: Member) -> None:
-        # What this instance did not hold, or could not hear, was not refreshed here:
-        # it gets the time of one lease to be heard of.
-        held = set(filter(self._is_holder, self._endpoints.services()))
-        domains = {member.failure_domain for member in self._members.live()}
+        # Leases of newly held services and newly reachable failure domains were not
+        # refreshed here before, so they are extended by one lease time.
+        held_services = set(filter(self._is_lease_holder, self._endpoints.services()))
+        live_domains = {member.failure_domain for member in self._members.live()}
         now_s = self._now_s()
         for endpoint in self._endpoints.by_address.values():
             domain = endpoint.announcement.failure_domain
-            endpoint.out_of_sight = domain not in domains
-            is_new = endpoint.service in held - self._held
-            if is_new or domain in domains - self._domains:
+            endpoint.out_of_sight = domain not in live_domains
+            is_new = endpoint.service in held_services - self._held_services
+            if is_new or domain in live_domains - self._live_domains:
                 endpoint.extend_lease(now_s)
-        self._held, self._domains = held, domains
+        self._held_services, self._live_domains = held_services, live_domains
 
     def on_announce(self, envelope: Envelope, source: bytes) -> None:
-        """Take an announcement that a backend server sent here.
+        """Handle an announcement that a backend server sent to this instance.
 
         Parameters
         ----------
         envelope : Envelope
-            The datagram.
+            Decoded datagram.
         source : bytes
             Packed address of the backend server.
 
         Raises
         ------
         DatagramError
-            If it makes no sense.
+            If a field is missing or invalid.
         SealError
-            If it is not signed though it has to be.
+            If a required signature is missing or wrong.
         """
         announcement = envelope.announcement
-        _check(announcement)
-        if self._signers is not None:
-            _check_signature(self._signers, announcement)
+        _check_fields(announcement)
+        if self._announce_sealer is not None:
+            _check_signature(self._announce_sealer, announcement)
         announcement.address = source
 
-        heard = self._hear(announcement)
-        if heard is not Heard.STALE:
-            self._tell(announcement, heard)
+        result = self._apply(announcement)
+        if result is not Heard.STALE:
+            self._forward(announcement, result)
         self._acknowledge(announcement, source)
 
     def on_relayed(self, announcement: Announcement) -> None:
-        """Take an announcement that another instance told on.
+        """Handle an announcement that another instance forwarded.
 
         Parameters
         ----------
         announcement : Announcement
-            The announcement, with its address.
+            Announcement with the address of its backend server.
         """
-        self._hear(announcement)
+        self._apply(announcement)
 
-    def _hear(self, announcement: Announcement) -> Heard:
+    def _apply(self, announcement: Announcement) -> Heard:
         address = announcement.address
-        before = self._endpoints.by_address.get(address)
-        was_gone = before is not None and before.gone
-        heard, displaced = self._endpoints.hear(address, announcement, self._now_s())
-        self._counters["announcement_" + heard.name.lower()] += 1
+        previous = self._endpoints.by_address.get(address)
+        was_gone = previous is not None and previous.gone
+        result, displaced = self._endpoints.hear(address, announcement, self._now_s())
+        self._counters["announcement_" + result.name.lower()] += 1
         if displaced is not None:
             self._on_gone(displaced)
 
         endpoint = self._endpoints.by_address[address]
-        if heard is not Heard.STALE:
+        if result is not Heard.STALE:
             domain = endpoint.announcement.failure_domain
             endpoint.out_of_sight = not self._members.sees_domain(domain)
-        if heard is Heard.CHANGED:
+        if result is Heard.CHANGED:
             self._on_changed(endpoint)
             if endpoint.gone and not was_gone:
                 self._on_gone(endpoint)
-        return heard
+        return result
 
-    def _tell(self, announcement: Announcement, heard: Heard) -> None:
+    def _forward(self, announcement: Announcement, result: Heard) -> None:
         targets = (
             self._members.live_peers()
-            if heard is Heard.CHANGED
-            else self._other_holders(announcement.service)
+            if result is Heard.CHANGED
+            else self._other_lease_holders(announcement.service)
         )
         for member in targets:
             self._send_peer(member.address, Peer(announcement=announcement))
 
-    def _holders(self, service: str) -> tuple[Member, ...]:
-        return self._members.rank(service_hash(service))[:_HOLDER_COUNT]
+    def _lease_holders(self, service: str) -> tuple[Member, ...]:
+        return self._members.rank(service_hash(service))[:_LEASE_HOLDER_COUNT]
 
-    def _other_holders(self, service: str) -> list[Member]:
-        me = self._members.me.name
-        return [member for member in self._holders(service) if member.name != me]
+    def _other_lease_holders(self, service: str) -> list[Member]:
+        own_name = self._members.me.name
+        return [
+            member for member in self._lease_holders(service) if member.name != own_name
+        ]
 
-    def _is_holder(self, service: str) -> bool:
-        me = self._members.me.name
-        return any(member.name == me for member in self._holders(service))
+    def _is_lease_holder(self, service: str) -> bool:
+        own_name = self._members.me.name
+        return any(member.name == own_name for member in self._lease_holders(service))
 
     def _acknowledge(self, announcement: Announcement, source: bytes) -> None:
         domain = announcement.failure_domain
-        near, far = [], []
+        own_domain_addresses, other_domain_addresses = [], []
         for member in self._members.live():
-            group = near if member.failure_domain == domain else far
-            group.append(format_address(unpack_address(member.address)))
-        # A backend server that spoke to far instances as often as to near ones would
-        # lose its lease in a cut that leaves its own failure domain whole.
-        acknowledgement = Envelope(
+            addresses = (
+                own_domain_addresses
+                if member.failure_domain == domain
+                else other_domain_addresses
+            )
+            addresses.append(format_address(unpack_address(member.address)))
+        # Instances of other failure domains are fallbacks only: otherwise a partition
+        # between failure domains would expire the lease.
+        reply = Envelope(
             kind=Kind.ANNOUNCE_ACK,
             sequence=announcement.sequence,
             incarnation=announcement.incarnation,
-            instances=random.sample(near, min(len(near), _INSTANCES_IN_ACK)),
-            fallback_instances=random.sample(far, min(len(far), _FALLBACKS_IN_ACK)),
+            instances=random.sample(
+                own_domain_addresses,
+                min(len(own_domain_addresses), _ACK_INSTANCE_LIMIT_COUNT),
+            ),
+            fallback_instances=random.sample(
+                other_domain_addresses,
+                min(len(other_domain_addresses), _ACK_FALLBACK_LIMIT_COUNT),
+            ),
         )
-        self._send_backend(source, acknowledgement.SerializeToString())
+        self._send_backend(source, reply.SerializeToString())
 
     def sweep(self) -> None:
-        """End the leases that ran out, where their failure domain is in sight."""
+        """End expired leases in reachable failure domains."""
         now_s = self._now_s()
-        if now_s - self._swept_s > _LONGEST_GAP_S:
-            # This process was stopped for a while: what was sent to it has not been
-            # read yet.
+        if now_s - self._last_sweep_s > _MAX_SWEEP_GAP_S:
+            # Announcements received during a pause have not been read yet.
             self._counters["pauses"] += 1
             for endpoint in self._endpoints.by_address.values():
                 endpoint.extend_lease(now_s)
-        self._swept_s = now_s
-        for endpoint in list(self._endpoints.expired(now_s, self._is_holder)):
-            # Silence from a failure domain that is cut off says nothing about its
-            # backend servers: they get no new work from here, and no flow is reset.
+        self._last_sweep_s = now_s
+        for endpoint in list(self._endpoints.expired(now_s, self._is_lease_holder)):
+            # Backend servers in an unreachable failure domain may still run: they get
+            # no new work, and their flows are not reset.
             if not self._members.sees_domain(endpoint.announcement.failure_domain):
                 continue
             self._counters["lease_expired"] += 1
@@ -212,63 +223,63 @@
             ended.CopyFrom(endpoint.announcement)
             ended.address = endpoint.address
             ended.leaving = True
-            self._hear(ended)
-            self._tell(ended, Heard.CHANGED)
-        self._endpoints.forget_gone(now_s, _GONE_KEPT_S)
+            self._apply(ended)
+            self._forward(ended, Heard.CHANGED)
+        self._endpoints.forget_gone(now_s, _GONE_RETENTION_S)
 
-    def tell_newcomer(self, member: Member) -> None:
-        """Send a new instance what this one holds the leases of.
+    def send_endpoints_to(self, member: Member) -> None:
+        """Send a new instance the backend servers that this one dispatches for.
 
         Parameters
         ----------
         member : Member
-            The new instance.
+            New instance.
         """
         for endpoint in list(self._endpoints.by_address.values()):
             if self._is_dispatcher(endpoint.service):
-                self._send_to(member, endpoint)
+                self._send_endpoint(member, endpoint)
 
-    def repair(self) -> None:
-        """Send one backend server's state to one instance, both at random.
+    def send_random_endpoint(self) -> None:
+        """Send the state of a random backend server to a random instance.
 
-        This mends what was lost on the way when the state changed.
+        Repairs the state of instances that missed a change because of packet loss.
         """
         peers = self._members.live_peers()
-        held = [
+        endpoints = [
             endpoint
             for endpoint in self._endpoints.by_address.values()
             if self._is_dispatcher(endpoint.service)
         ]
-        if peers and held:
-            self._send_to(random.choice(peers), random.choice(held))
+        if peers and endpoints:
+            self._send_endpoint(random.choice(peers), random.choice(endpoints))
 
     def _is_dispatcher(self, service: str) -> bool:
         return self._members.is_dispatcher(service_hash(service))
 
-    def _send_to(self, member: Member, endpoint: Endpoint) -> None:
+    def _send_endpoint(self, member: Member, endpoint: Endpoint) -> None:
         announcement = Announcement()
         announcement.CopyFrom(endpoint.announcement)
         announcement.address = endpoint.address
         self._send_peer(member.address, Peer(announcement=announcement))
 
 
-def _check(announcement: Announcement) -> None:
+def _check_fields(announcement: Announcement) -> None:
     if not announcement.service or not announcement.endpoint_id:
         raise DatagramError("announcement without service")
     if not announcement.incarnation:
         raise DatagramError("announcement without incarnation")
-    if not 0 < announcement.lease_ms <= _LONGEST_LEASE_MS:
+    if not 0 < announcement.lease_ms <= _MAX_LEASE_MS:
         raise DatagramError("announcement with wrong lease")
 
 
-def _check_signature(signers: Sealer, announcement: Announcement) -> None:
-    code = announcement.mac
+def _check_signature(sealer: Sealer, announcement: Announcement) -> None:
+    signature = announcement.mac
     announcement.ClearField("mac")
     announcement.ClearField("address")
     body = announcement.SerializeToString(deterministic=True)
-    for key in signers.keys:
+    for key in sealer.keys:
         try:
-            verify_signature(key, body, code)
+            verify_signature(key, body, signature)
         except SealError:
             continue
         return
--- a/src/agatethread/entry/_datagrams.py
+++ b/src/agatethread/entry/_datagrams.py
@@ -1,10 +1,10 @@
-"""Hands each datagram of an entry instance to the part that handles it."""
+"""Route received datagrams to the parts of an entry instance."""
 
 from collections.abc import Callable
 
-from agatethread.entry._announcements import AnnouncementDesk
-from agatethread.entry._flows import FlowDesk
-from agatethread.entry._forwarding import Forwarder
+from agatethread.entry._announcements import AnnouncementHandler
+from agatethread.entry._flows import FlowRouter
+from agatethread.entry._forwarding import FlowForwarder
 from agatethread.entry._placement import FlowPlacer
 from agatethread.entry._requests import RequestDesk
 from agatethread.exceptions import DatagramError
@@ -24,25 +24,27 @@
     pack_address,
 )
 
-#: Looked up once: an enum's attribute costs as much as the rest of the dispatch.
+#: Read once, because looking up an enum attribute is slow.
 _CLOSE = Kind.CLOSE
 _FLOW_KINDS = frozenset((Kind.DATA, Kind.KEEPALIVE, Kind.CLOSE))
-_STREAM_REPLIES = frozenset((Kind.PUSH, Kind.KEEPALIVE_ACK, Kind.OPENED, Kind.CLOSED))
+_STREAM_REPLY_KINDS = frozenset(
+    (Kind.PUSH, Kind.KEEPALIVE_ACK, Kind.OPENED, Kind.CLOSED)
+)
 
 Address = tuple[str, int]
 
 
-class DatagramDesk:
-    """Decides by its kind which part of the instance a datagram is for.
+class DatagramRouter:
+    """Passes each datagram to the part that handles its kind.
 
     Parameters
     ----------
     sealer : Sealer
-        Opens what other entry instances have sealed.
+        Decrypts messages of other entry instances.
     members : MemberTable
-        The fleet.
-    prober, announcements, forwarder, placer, flow_desk, requests
-        The parts of the instance that handle datagrams.
+        Entry instances.
+    prober, announcements, forwarder, placer, flow_router, requests
+        Parts of the instance that handle datagrams.
     send_to_caller : callable
         Sends a datagram from the callers' socket.
     fresh_token : callable
@@ -54,10 +56,10 @@
         sealer: Sealer,
         members: MemberTable,
         prober: Prober,
-        announcements: AnnouncementDesk,
-        forwarder: Forwarder,
+        announcements: AnnouncementHandler,
+        forwarder: FlowForwarder,
         placer: FlowPlacer,
-        flow_desk: FlowDesk,
+        flow_router: FlowRouter,
         requests: RequestDesk,
         send_to_caller: Callable[[bytes, Address], None],
         fresh_token: Callable[[str], bytes],
@@ -68,38 +70,38 @@
         self._announcements = announcements
         self._forwarder = forwarder
         self._placer = placer
-        self._flow_desk = flow_desk
+        self._flow_router = flow_router
         self._requests = requests
         self._send_to_caller = send_to_caller
         self._fresh_token = fresh_token
 
     def on_caller_datagram(self, data: bytes, source: Address) -> None:
-        """Handle a datagram that came to the callers' socket.
+        """Handle a datagram received on the callers' socket.
 
         Parameters
         ----------
         data : bytes
-            The datagram.
+            Datagram.
         source : tuple of (str, int)
-            Where it came from.
+            Source address.
 
         Raises
         ------
         DatagramError, SealError
-            If it is of no use.
+            If it is invalid or not sealed by an entry instance.
         """
         envelope = decode_envelope(data)
         kind = envelope.kind
         if kind in _FLOW_KINDS:
-            forwarded = self._forwarder.to_backend(data, envelope, source)
+            forwarded = self._forwarder.forward_to_backend(data, envelope, source)
             if kind == _CLOSE and forwarded:
-                self._flow_desk.on_close(envelope)
+                self._flow_router.on_close(envelope)
             return
         if kind == Kind.REQUEST:
             self._requests.on_request(envelope, pack_address(source))
             return
         if kind == Kind.OPEN:
-            self._flow_desk.on_open(envelope, pack_address(source))
+            self._flow_router.on_open(envelope, pack_address(source))
             return
         if kind == Kind.CANCEL:
             self._requests.on_cancel(envelope)
@@ -116,19 +118,21 @@
         raise DatagramError("unexpected kind")
 
     def on_inner_datagram(self, data: bytes, source: Address) -> None:
-        """Handle a datagram of a backend server or another entry instance.
+        """Handle a datagram received on the inner socket.
+
+        It was sent by a backend server or another entry instance.
 
         Parameters
         ----------
         data : bytes
-            The datagram.
+            Datagram.
         source : tuple of (str, int)
-            Where it came from.
+            Source address.
 
         Raises
         ------
         DatagramError, SealError
-            If it is of no use.
+            If it is invalid or not sealed by an entry instance.
         """
         if data[:1] == PEER_PREFIX:
             self._on_peer(decode_peer(self._sealer, data))
@@ -136,15 +140,15 @@
 
         envelope = decode_envelope(data)
         kind = envelope.kind
-        if kind in _STREAM_REPLIES:
-            label = self._forwarder.to_caller(data, envelope, source)
+        if kind in _STREAM_REPLY_KINDS:
+            label = self._forwarder.forward_to_caller(data, envelope, source)
             if label is not None:
-                self._flow_desk.on_reply(envelope, label)
+                self._flow_router.on_reply(envelope, label)
             return
         if kind in (Kind.ANSWER, Kind.SHED):
             if self._requests.on_backend_reply(data, envelope, pack_address(source)):
                 return
-            self._flow_desk.on_shed(envelope, pack_address(source))
+            self._flow_router.on_shed(envelope, pack_address(source))
             return
         if kind == Kind.MISSING:
             self._requests.on_backend_missing(data, envelope)
@@ -189,7 +193,7 @@
             self._requests.on_missing(envelope)
         elif envelope.kind in (Kind.ANSWER, Kind.SHED):
             if not self._requests.on_relayed_reply(envelope, relay.caller):
-                self._flow_desk.on_shed(envelope, relay.caller)
+                self._flow_router.on_shed(envelope, relay.caller)
 
     def _on_hello(self, envelope: Envelope, source: Address) -> None:
         welcome = Envelope(
@@ -201,8 +205,8 @@
         self._send_to_caller(welcome.SerializeToString(), source)
 
     def _on_probe(self, envelope: Envelope, source: Address) -> None:
-        leaving = self._members.me.state == MemberState.LEAVING
-        answer = Envelope(kind=Kind.PROBE_ACK, sequence=envelope.sequence)
-        if leaving:
-            answer.reason = Reason.DRAINING
-        self._send_to_caller(answer.SerializeToString(), source)
+        is_leaving = self._members.me.state == MemberState.LEAVING
+        reply = Envelope(kind=Kind.PROBE_ACK, sequence=envelope.sequence)
+        if is_leaving:
+            reply.reason = Reason.DRAINING
+        self._send_to_caller(reply.SerializeToString(), source)
--- a/src/agatethread/entry/_dump.py
+++ b/src/agatethread/entry/_dump.py
@@ -1,4 +1,4 @@
-"""The state of an entry instance as data for JSON."""
+"""Export the state of an entry instance as JSON data."""
 
 from typing import Any
 
@@ -6,8 +6,8 @@
 from agatethread.settings import format_address
 from agatethread.wire import MemberState, unpack_address
 
-#: Rows of each list; the total is always given beside it.
-_MOST_ROWS = 500
+#: Limit of rows in each list; the totals are complete.
+_ROW_LIMIT_COUNT = 500
 
 
 def _endpoint_row(endpoint: Endpoint, now_s: float) -> dict[str, Any]:
@@ -33,17 +33,17 @@
 
 
 def dump_entry(instance: Any) -> dict[str, Any]:
-    """Collect an entry instance's state.
+    """Return the state of an entry instance.
 
     Parameters
     ----------
     instance : EntryInstance
-        The instance.
+        Entry instance.
 
     Returns
     -------
     dict
-        Ready for JSON; lists are cut at 500 rows.
+        JSON data; each list has at most 500 rows.
     """
     now_s = instance.timers.now_s()
     members = instance.members.members.values()
@@ -59,15 +59,16 @@
                 "state": MemberState.Name(member.state),
                 "joining": member.joining,
             }
-            for member in list(members)[:_MOST_ROWS]
+            for member in list(members)[:_ROW_LIMIT_COUNT]
         ],
         "endpoints_total": len(endpoints),
         "endpoints": [
-            _endpoint_row(endpoint, now_s) for endpoint in list(endpoints)[:_MOST_ROWS]
+            _endpoint_row(endpoint, now_s)
+            for endpoint in list(endpoints)[:_ROW_LIMIT_COUNT]
         ],
         "dispatches_for": [
             service
-            for service in instance.endpoints.services()[:_MOST_ROWS]
+            for service in instance.endpoints.services()[:_ROW_LIMIT_COUNT]
             if instance.is_dispatcher(service)
         ],
         "flows_counted": len(instance.flows),
@@ -75,10 +76,12 @@
         "operations_running": instance.requests.running_count,
         "claims_kept": len(instance.requests.claims),
         "requests_waiting": instance.requests.waiting_counts,
-        "documents_index": instance.book.index,
+        "documents_index": instance.document_store.index,
         "documents": {
             name: document.version
-            for name, document in list(instance.book.documents.items())[:_MOST_ROWS]
+            for name, document in list(instance.document_store.documents.items())[
+                :_ROW_LIMIT_COUNT
+            ]
         },
-        "drained": sorted(instance.book.drained)[:_MOST_ROWS],
+        "drained": sorted(instance.document_store.drained)[:_ROW_LIMIT_COUNT],
     }
--- a/src/agatethread/entry/_flows.py
+++ b/src/agatethread/entry/_flows.py
@@ -1,4 +1,4 @@
-"""Openings and ends of flows, brought to the service's dispatcher."""
+"""Route openings and ends of flows to the dispatcher of their service."""
 
 from collections.abc import Callable
 
@@ -16,15 +16,15 @@
 )
 
 
-class FlowDesk:
-    """Hands on what concerns the placement of flows.
+class FlowRouter:
+    """Routes messages about the placement of flows.
 
     Parameters
     ----------
     members : MemberTable
-        The fleet.
+        Entry instances.
     placer : FlowPlacer
-        Places flows where this instance dispatches.
+        Places flows of the services that this instance dispatches for.
     send_peer : callable
         Sends a message to an instance's packed address.
     counters : Counters
@@ -44,12 +44,12 @@
         self._counters = counters
 
     def on_open(self, envelope: Envelope, caller: bytes) -> None:
-        """Place a flow here, or have its dispatcher do it.
+        """Place a flow, or relay its opening to the dispatcher.
 
         Parameters
         ----------
         envelope : Envelope
-            The caller's request to open.
+            Opening sent by the caller.
         caller : bytes
             Packed address of the caller.
         """
@@ -62,36 +62,36 @@
         self._send_peer(ranked[0].address, Peer(relay=relay))
 
     def on_reply(self, envelope: Envelope, label: StreamLabel) -> None:
-        """Note what a backend server's reply says of its flow.
+        """Record that a backend server opened or closed a flow.
 
         Parameters
         ----------
         envelope : Envelope
-            The reply, on its way to the caller.
+            Reply that is forwarded to the caller.
         label : StreamLabel
-            Its label.
+            Label of the reply.
         """
         if envelope.kind == Kind.OPENED:
             self._placer.on_opened(envelope.service, envelope.flow_id)
         elif envelope.kind == Kind.CLOSED:
-            self._tell_dispatcher_closed(
+            self._send_closed_to_dispatcher(
                 envelope.service, envelope.flow_id, label.endpoint
             )
 
     def on_shed(self, envelope: Envelope, address: bytes) -> None:
-        """Have a flow placed elsewhere that a backend server did not take.
+        """Have a flow that a backend server refused placed again.
 
         Parameters
         ----------
         envelope : Envelope
-            The backend server's reply.
+            Reply of the backend server.
         address : bytes
             Packed address of the backend server.
         """
         service, flow_id = envelope.service, envelope.flow_id
         if self._members.is_dispatcher(
             service_hash(service)
-        ) or self._placer.is_placing(service, flow_id):
+        ) or self._placer.is_pending(service, flow_id):
             self._placer.on_shed(service, flow_id, address)
             return
         ranked = self._members.rank(service_hash(service))
@@ -100,17 +100,17 @@
             self._send_peer(ranked[0].address, Peer(relay=relay))
 
     def on_close(self, envelope: Envelope) -> None:
-        """Note that a caller closed a flow.
+        """Record that a caller closed a flow.
 
         Parameters
         ----------
         envelope : Envelope
-            The caller's datagram; its cookie has been checked.
+            Datagram of the caller with a verified cookie.
         """
         endpoint = envelope.cookie[:6]
-        self._tell_dispatcher_closed(envelope.service, envelope.flow_id, endpoint)
+        self._send_closed_to_dispatcher(envelope.service, envelope.flow_id, endpoint)
 
-    def _tell_dispatcher_closed(
+    def _send_closed_to_dispatcher(
         self, service: str, flow_id: int, endpoint: bytes
     ) -> None:
         ranked = self._members.rank(service_hash(service))
--- a/src/agatethread/entry/_forwarding.py
+++ b/src/agatethread/entry/_forwarding.py
@@ -1,4 +1,4 @@
-"""The data path of open flows: nothing is remembered that a cookie can't restore."""
+"""Forward datagrams of open flows, using only state sealed in cookies and labels."""
 
 from collections.abc import Callable
 
@@ -20,8 +20,8 @@
     unpack_address,
 )
 
-#: Opened cookies and labels kept to save their seals' cost; any may be dropped.
-_CACHE_COUNT = 4_096
+#: Limit of cached cookies and labels, which would be decrypted for each datagram.
+_CACHE_LIMIT_COUNT = 4_096
 
 Address = tuple[str, int]
 Send = Callable[[bytes, Address], None]
@@ -29,19 +29,19 @@
 Route = tuple[Address, bytes, str, int]
 
 
-class Forwarder:
+class FlowForwarder:
     """Forwards datagrams of open flows in both directions.
 
     Parameters
     ----------
     sealer : Sealer
-        Opens cookies and labels.
+        Decrypts cookies and labels.
     endpoints : EndpointTable
-        Who holds an address now.
+        Backend servers by address.
     send_backend, send_caller : callable
-        Send a datagram towards either side.
+        Send a datagram to a backend server or caller.
     counters : Counters
-        Counts datagrams by what was done with them.
+        Counts datagrams by result.
     """
 
     def __init__(
@@ -60,21 +60,23 @@
         self._routes: dict[tuple[bytes, Address], Route] = {}
         self._labels: dict[bytes, tuple[StreamLabel, Address, Address]] = {}
 
-    def forget_routes(self) -> None:
-        """Judge every cookie anew, after a backend server's change."""
+    def clear_routes(self) -> None:
+        """Clear the cached routes after a change of a backend server."""
         self._routes.clear()
 
-    def to_backend(self, data: bytes, envelope: Envelope, caller: Address) -> bool:
+    def forward_to_backend(
+        self, data: bytes, envelope: Envelope, caller: Address
+    ) -> bool:
         """Forward a caller's datagram of an open flow.
 
         Parameters
         ----------
         data : bytes
-            The datagram.
+            Datagram.
         envelope : Envelope
-            The datagram, decoded.
+            Decoded datagram.
         caller : tuple of (str, int)
-            Its source.
+            Source address.
 
         Returns
         -------
@@ -84,11 +86,11 @@
         Raises
         ------
         SealError
-            If its cookie is not ours.
+            If its cookie was not sealed by an entry instance.
         """
         route = self._routes.get((envelope.cookie, caller))
         if route is None:
-            route = self._find_route(envelope, caller)
+            route = self._build_route(envelope, caller)
             if route is None:
                 return False
 
@@ -101,16 +103,16 @@
         self._counters["forwarded"] += 1
         return True
 
-    def _find_route(self, envelope: Envelope, caller: Address) -> Route | None:
+    def _build_route(self, envelope: Envelope, caller: Address) -> Route | None:
         cookie = parse_cookie(self._sealer, envelope.cookie)
         outcome = judge_open_flow(
-            # The cookie is sealed, so it is proof that the run existed.
+            # The sealed cookie proves that the run existed.
             is_known=True,
             is_allowed=cookie.service == service_hash(envelope.service),
             has_ended=self._has_ended(cookie, envelope.service),
         )
         if outcome is OpenFlowOutcome.RESET:
-            self._reset(envelope, caller)
+            self._send_reset(envelope, caller)
             return None
         if outcome is not OpenFlowOutcome.FORWARD:
             self._counters["dropped_wrong_service"] += 1
@@ -125,22 +127,22 @@
         ).SerializeToString()
         target = unpack_address(cookie.endpoint)
         route = (target, suffix, envelope.service, cookie.flow_id)
-        if len(self._routes) >= _CACHE_COUNT:
+        if len(self._routes) >= _CACHE_LIMIT_COUNT:
             self._routes.clear()
         self._routes[envelope.cookie, caller] = route
         return route
 
     def _has_ended(self, cookie: Cookie, service: str) -> bool:
-        # An address that we know nothing of, or only older news, is not judged: the
-        # backend server checks, too.
-        holder = self._endpoints.by_address.get(cookie.endpoint)
-        if holder is None or holder.incarnation < cookie.incarnation:
+        # Without state of this run or a later one the flow counts as open; the backend
+        # server checks the incarnation, too.
+        current = self._endpoints.by_address.get(cookie.endpoint)
+        if current is None or current.incarnation < cookie.incarnation:
             return False
-        if holder.incarnation > cookie.incarnation or holder.service != service:
+        if current.incarnation > cookie.incarnation or current.service != service:
             return True
-        return holder.gone
+        return current.gone
 
-    def _reset(self, envelope: Envelope, caller: Address) -> None:
+    def _send_reset(self, envelope: Envelope, caller: Address) -> None:
         self._counters["reset"] += 1
         reset = Envelope(
             kind=Kind.RESET,
@@ -151,7 +153,7 @@
         )
         self._send_caller(reset.SerializeToString(), caller)
 
-    def to_caller(
+    def forward_to_caller(
         self, data: bytes, envelope: Envelope, source: Address
     ) -> StreamLabel | None:
         """Forward a backend server's datagram of a flow.
@@ -159,26 +161,26 @@
         Parameters
         ----------
         data : bytes
-            The datagram.
+            Datagram.
         envelope : Envelope
-            The datagram, decoded.
+            Decoded datagram.
         source : tuple of (str, int)
-            Where it came from.
+            Source address.
 
         Returns
         -------
         StreamLabel or None
-            Its label, or None if it was dropped.
+            Label of the datagram, or None if it was dropped.
 
         Raises
         ------
         SealError
-            If its label is not ours.
+            If its label was not sealed by an entry instance.
         """
         cached = self._labels.get(envelope.return_label)
         if cached is None:
-            cached = self._open_label(envelope)
-            if len(self._labels) >= _CACHE_COUNT:
+            cached = self._parse_stream_label(envelope)
+            if len(self._labels) >= _CACHE_LIMIT_COUNT:
                 self._labels.clear()
             self._labels[envelope.return_label] = cached
 
@@ -191,8 +193,10 @@
         self._counters["returned"] += 1
         return label
 
-    def _open_label(self, envelope: Envelope) -> tuple[StreamLabel, Address, Address]:
+    def _parse_stream_label(
+        self, envelope: Envelope
+    ) -> tuple[StreamLabel, Address, Address]:
         label = parse_label(self._sealer, envelope.return_label)
         if not isinstance(label, StreamLabel):
-            raise SealError("not a flow's label")
+            raise SealError("label is not a flow label")
         return label, unpack_address(label.caller), unpack_address(label.endpoint)
--- a/src/agatethread/entry/_fragments.py
+++ b/src/agatethread/entry/_fragments.py
@@ -1,19 +1,19 @@
-"""Asks senders for the fragments of a message that did not come."""
+"""Request missing fragments from their senders."""
 
 from agatethread.operations import Ports
 from agatethread.transfer import Assembler
 from agatethread.wire import Envelope, Kind
 
 
-def ask_for_missing(assembler: Assembler, ports: Ports) -> None:
-    """Ask callers and backend servers for what has been missing for a while.
+def request_missing_fragments(assembler: Assembler, ports: Ports) -> None:
+    """Request missing fragments from callers and backend servers.
 
     Parameters
     ----------
     assembler : Assembler
-        Holds the messages that are not whole yet.
+        Holds the incomplete messages.
     ports : Ports
-        Reach their senders.
+        Callbacks that send to callers and backend servers.
     """
     for partial, indices in assembler.take_quiet():
         first = partial.first
--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -1,4 +1,4 @@
-"""An entry instance: its sockets, its tasks, and who handles which datagram."""
+"""Entry instance: sockets, periodic tasks, and the parts that handle datagrams."""
 
 import secrets
 import time
@@ -7,12 +7,12 @@
 
 from mode import Service
 
-from agatethread.entry._announcements import AnnouncementDesk
-from agatethread.entry._datagrams import DatagramDesk
+from agatethread.entry._announcements import AnnouncementHandler
+from agatethread.entry._datagrams import DatagramRouter
 from agatethread.entry._documents import DocumentBook, DocumentWatcher
 from agatethread.entry._dump import dump_entry
-from agatethread.entry._flows import FlowDesk
-from agatethread.entry._forwarding import Forwarder
+from agatethread.entry._flows import FlowRouter
+from agatethread.entry._forwarding import FlowForwarder
 from agatethread.entry._placement import FlowPlacer
 from agatethread.entry._requests import RequestDesk
 from agatethread.membership import Member, MemberTable, Prober
@@ -46,24 +46,24 @@
 )
 
 _SWEEP_INTERVAL_S = 0.1
-_REPAIR_INTERVAL_S = 1.0
-_SECOND_GREETING_S = 3.0
-#: Time for the fabric and the peers to learn that this instance is leaving.
-_LEAVE_NOTICE_S = 1.0
+_STATE_REPAIR_INTERVAL_S = 1.0
+_STATE_RESEND_DELAY_S = 3.0
+#: Time for the network fabric and other instances to detect that this one leaves.
+_LEAVE_PROPAGATION_S = 1.0
 _STOP_POLL_S = 0.05
 
 log = make_logger("entry")
 
 
 class EntryInstance(Service):
-    """Serves callers and backend servers, together with the other instances.
+    """Entry instance that serves callers and backend servers.
 
     Parameters
     ----------
     settings : Settings
-        With the settings of the entry role.
+        Settings of the process, including the entry role.
     counters : Counters
-        The process's counters.
+        Counters of the process.
     """
 
     def __init__(self, settings: Settings, counters: Counters):
@@ -78,40 +78,40 @@
         self._send_to_caller = send_or_count(self._caller_socket, counters)
         self._send_to_inner = send_or_count(self._inner_socket, counters)
         self._build_state(entry)
-        self._build_fleet_parts(entry)
+        self._build_membership_parts(entry)
         self._build_flow_parts()
         self._build_request_parts(entry)
-        self._datagrams = DatagramDesk(
+        self._datagram_router = DatagramRouter(
             self.sealer,
             self.members,
             self.prober,
             self.announcements,
             self.forwarder,
             self.placer,
-            self.flow_desk,
+            self.flow_router,
             self.requests,
             self._send_to_caller,
             self.fresh_token,
         )
 
     def _build_state(self, entry: EntrySettings) -> None:
-        me = Member(
+        own_member = Member(
             name=self.settings.name,
             failure_domain=self.settings.failure_domain,
             address=pack_address(parse_address(entry.inner_advertised or entry.inner)),
             incarnation=time.time_ns() // 1_000 << 8 | secrets.randbits(8),
             joining=bool(entry.warm_up_s),
         )
-        self.members = MemberTable(me)
+        self.members = MemberTable(own_member)
         self.endpoints = EndpointTable()
         self.flows = FlowTable(entry.flow_limit_count)
-        self.book = DocumentBook()
-        self._dispatched: set[str] = set()
-        self._stopping = False
+        self.document_store = DocumentBook()
+        self._dispatched_services: set[str] = set()
+        self._is_leaving = False
         self._outbox = Outbox()
-        self._greeted: set[MemberRef] = set()
+        self._initialized_members: set[MemberRef] = set()
 
-    def _build_fleet_parts(self, entry: EntrySettings) -> None:
+    def _build_membership_parts(self, entry: EntrySettings) -> None:
         self.prober = self.add_dependency(
             Prober(
                 self.members,
@@ -124,9 +124,14 @@
             )
         )
         self.watcher = self.add_dependency(
-            DocumentWatcher(self.settings, self.book, self._on_update, self.counters)
+            DocumentWatcher(
+                self.settings,
+                self.document_store,
+                self._on_documents_changed,
+                self.counters,
+            )
         )
-        self.announcements = AnnouncementDesk(
+        self.announcements = AnnouncementHandler(
             entry,
             self.members,
             self.endpoints,
@@ -140,7 +145,7 @@
         self.members.subscribe(self._on_member_changed)
 
     def _build_flow_parts(self) -> None:
-        self.forwarder = Forwarder(
+        self.forwarder = FlowForwarder(
             self.sealer,
             self.endpoints,
             self._send_to_inner,
@@ -151,13 +156,13 @@
             self.sealer,
             self.endpoints,
             self.flows,
-            self.book.documents.get,
+            self.document_store.documents.get,
             self._send_backend,
             self._send_caller,
             self.timers.now_s,
             self.counters,
         )
-        self.flow_desk = FlowDesk(
+        self.flow_router = FlowRouter(
             self.members, self.placer, self.send_peer, self.counters
         )
 
@@ -177,45 +182,50 @@
             self.sealer,
             self.members,
             self.endpoints,
-            self.book,
+            self.document_store,
             self.add_future,
             self.counters,
         )
 
-    # -- start and stop -----------------------------------------------------------
-
     async def on_start(self) -> None:
-        """Start to read, and to dispatch after the warm-up."""
-        self._read(self._caller_socket, self._datagrams.on_caller_datagram)
-        self._read(self._inner_socket, self._datagrams.on_inner_datagram)
+        """Start to read datagrams, and to dispatch after the warm-up."""
+        self._read_from(self._caller_socket, self._datagram_router.on_caller_datagram)
+        self._read_from(self._inner_socket, self._datagram_router.on_inner_datagram)
         self.timers.subscribe(_SWEEP_INTERVAL_S, self._sweep)
-        self.timers.subscribe(_REPAIR_INTERVAL_S, self.announcements.repair)
+        self.timers.subscribe(
+            _STATE_REPAIR_INTERVAL_S, self.announcements.send_random_endpoint
+        )
         self.add_future(self._warm_up())
         log.info("entry instance started", listen=self.settings.entry.listen)
 
-    def _read(self, opened: socket, handler: Handler) -> None:
-        start_reading(opened, drain_into(opened, handler, self.counters))
+    def _read_from(self, sock: socket, handler: Handler) -> None:
+        start_reading(sock, drain_into(sock, handler, self.counters))
 
     async def _warm_up(self) -> None:
-        # Every backend server announces itself in this time, so the new dispatcher
-        # knows all of them before the first flow is placed by it.
+        # All backend servers announce themselves during the warm-up, before this
+        # instance places its first flow.
         await self.sleep(self.settings.entry.warm_up_s)
         if self.members.me.joining:
             self.members.change_me(joining=False)
 
     async def leave(self) -> None:
-        """Stop gracefully: finish every operation, hand over the rest."""
+        """Stop gracefully: refuse queued requests and finish running operations."""
         log.info("leaving", operations=self.requests.running_count)
-        self._stopping = True
+        self._is_leaving = True
         self.members.change_me(state=MemberState.LEAVING)
-        self.requests.refuse_waiting()
+        self.requests.refuse_queued()
         self.prober.tell_all()
 
         started_s = self.timers.now_s()
-        limit_s = started_s + max(_LEAVE_NOTICE_S, self.settings.entry.stop_limit_s)
-        notice_s = started_s + _LEAVE_NOTICE_S
-        while self.timers.now_s() < limit_s:
-            if not self.requests.running_count and self.timers.now_s() >= notice_s:
+        deadline_s = started_s + max(
+            _LEAVE_PROPAGATION_S, self.settings.entry.stop_limit_s
+        )
+        earliest_end_s = started_s + _LEAVE_PROPAGATION_S
+        while self.timers.now_s() < deadline_s:
+            if (
+                not self.requests.running_count
+                and self.timers.now_s() >= earliest_end_s
+            ):
                 break
             await self.sleep(_STOP_POLL_S)
         log.info("left", operations=self.requests.running_count)
@@ -225,17 +235,15 @@
         stop_reading(self._caller_socket)
         stop_reading(self._inner_socket)
 
-    # -- sending ------------------------------------------------------------------
-
     def send_peer(self, address: bytes, peer: Peer) -> None:
         """Send a sealed message to another entry instance.
 
         Parameters
         ----------
         address : bytes
-            Its packed inner address.
+            Packed inner address of the instance.
         peer : Peer
-            The message.
+            Message to send.
         """
         peer.sender = self.members.me.address
         peer.incarnation = self.members.me.incarnation
@@ -252,40 +260,39 @@
             self._send_to_caller(data, target)
             return
         self._outbox.send_paced(
-            split_datagram(data), lambda part: self._send_to_caller(part, target)
+            split_datagram(data),
+            lambda fragment: self._send_to_caller(fragment, target),
         )
 
     def fresh_token(self, service: str) -> bytes:
-        """Seal a token that names the service's present dispatcher and standby.
+        """Return a sealed token with the current dispatcher and standby of a service.
 
         Parameters
         ----------
         service : str
-            The service.
+            Service name.
 
         Returns
         -------
         bytes
-            The token.
+            Sealed token.
         """
-        hashed = service_hash(service)
-        ranked = self.members.rank(hashed)
+        hashed_service = service_hash(service)
+        ranked = self.members.rank(hashed_service)
         owner = ranked[0].ref if ranked else NO_MEMBER
         standby = ranked[1].ref if len(ranked) > 1 else NO_MEMBER
-        return seal_token(self.sealer, Token(hashed, owner, standby))
-
-    # -- changes ------------------------------------------------------------------
+        return seal_token(self.sealer, Token(hashed_service, owner, standby))
 
     def _on_endpoint_changed(self, endpoint: Endpoint) -> None:
         domain = endpoint.announcement.failure_domain
-        endpoint.drained = self.book.takes_no_work(
+        endpoint.drained = self.document_store.is_drained_or_evacuated(
             endpoint.announcement.endpoint_id, domain
         )
-        document = self.book.documents.get(endpoint.service)
+        document = self.document_store.documents.get(endpoint.service)
         if document is not None:
             endpoint.weight = document.domain_weights.get(domain, 1.0)
-        self.forwarder.forget_routes()
-        self.requests.pump(endpoint.service)
+        self.forwarder.clear_routes()
+        self.requests.grant_waiting(endpoint.service)
 
     def _on_endpoint_gone(self, endpoint: Endpoint) -> None:
         log.info(
@@ -293,62 +300,67 @@
             endpoint=endpoint.announcement.endpoint_id,
             service=endpoint.service,
         )
-        self.forwarder.forget_routes()
+        self.forwarder.clear_routes()
         self.requests.owner.on_endpoint_gone(endpoint)
         self.placer.on_endpoint_gone(endpoint)
 
-    def _on_update(self) -> None:
-        count = len(self.book.documents)
-        log.info("documents in force", index=self.book.index, services=count)
+    def _on_documents_changed(self) -> None:
+        count = len(self.document_store.documents)
+        log.info(
+            "service documents applied", index=self.document_store.index, services=count
+        )
         for endpoint in self.endpoints.by_address.values():
             self._on_endpoint_changed(endpoint)
-        self._follow_own_drain()
+        self._apply_own_drain()
 
-    def _follow_own_drain(self) -> None:
-        drained = self.settings.name in self.book.drained
+    def _apply_own_drain(self) -> None:
+        drained = self.settings.name in self.document_store.drained
         state = self.members.me.state
         if drained and state == MemberState.ALIVE:
             self.members.change_me(state=MemberState.LEAVING)
-            self.requests.refuse_waiting()
+            self.requests.refuse_queued()
             self.prober.tell_all()
-        elif not drained and state == MemberState.LEAVING and not self._stopping:
+        elif not drained and state == MemberState.LEAVING and not self._is_leaving:
             self.members.change_me(state=MemberState.ALIVE)
             self.prober.tell_all()
 
-    async def _greet(self, member: Member) -> None:
-        # Again a little later: whoever heard of a backend server in between may not
-        # have heard of the newcomer yet.
-        self.announcements.tell_newcomer(member)
-        await self.sleep(_SECOND_GREETING_S)
-        self.announcements.tell_newcomer(member)
+    async def _initialize_member(self, member: Member) -> None:
+        # Sent twice: an instance that learned of a backend server in between may not
+        # have known the new instance yet.
+        self.announcements.send_endpoints_to(member)
+        await self.sleep(_STATE_RESEND_DELAY_S)
+        self.announcements.send_endpoints_to(member)
 
     def _on_member_changed(self, member: Member) -> None:
-        if member.state == MemberState.ALIVE and member.ref not in self._greeted:
-            self._greeted.add(member.ref)
-            self.add_future(self._greet(member))
+        if (
+            member.state == MemberState.ALIVE
+            and member.ref not in self._initialized_members
+        ):
+            self._initialized_members.add(member.ref)
+            self.add_future(self._initialize_member(member))
         elif member.state == MemberState.DEAD:
-            self._greeted.discard(member.ref)
+            self._initialized_members.discard(member.ref)
         now_s = self.timers.now_s()
         for service in self.endpoints.services():
             if not self.is_dispatcher(service):
-                self._dispatched.discard(service)
-            elif service not in self._dispatched:
-                self._dispatched.add(service)
+                self._dispatched_services.discard(service)
+            elif service not in self._dispatched_services:
+                self._dispatched_services.add(service)
                 for endpoint in self.endpoints.of_service(service):
                     endpoint.inherit(now_s)
 
     def is_dispatcher(self, service: str) -> bool:
-        """Tell whether this instance dispatches for a service now.
+        """Return whether this instance is the dispatcher of a service.
 
         Parameters
         ----------
         service : str
-            The service.
+            Service name.
 
         Returns
         -------
         bool
-            As this instance sees the fleet.
+            True if it ranks first among the instances that it knows.
         """
         return self.members.is_dispatcher(service_hash(service))
 
@@ -358,27 +370,27 @@
         self.requests.sweep()
 
     def gauges(self) -> dict[str, Callable[[], float]]:
-        """Functions that read the instance's gauges.
+        """Return the functions that read the gauges of the instance.
 
         Returns
         -------
         dict of str to callable
-            By name.
+            Functions by the name of the gauge.
         """
         return {
             "flows_counted": lambda: len(self.flows),
             "operations_running": lambda: self.requests.running_count,
             "members_live": lambda: len(self.members.live()),
             "endpoints": lambda: len(self.endpoints.by_address),
-            "documents_index": lambda: self.book.index,
+            "documents_index": lambda: self.document_store.index,
         }
 
     def dump(self) -> dict:
-        """Give the instance's whole state, bounded in size.
+        """Return the state of the instance, limited in size.
 
         Returns
         -------
         dict
-            Ready for JSON.
+            JSON data.
         """
         return dump_entry(self)
--- a/src/agatethread/entry/_placement.py
+++ b/src/agatethread/entry/_placement.py
@@ -1,4 +1,4 @@
-"""Placement of new flows, done by the service's dispatcher."""
+"""Place new flows on backend servers, as the dispatcher of their service."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,36 +18,36 @@
     service_hash,
 )
 
-_OPEN_TIMEOUT_S = 5.0
-_MOST_TRIES = 4
-_RETRY_S = 0.5
+_OPENING_TIMEOUT_S = 5.0
+_ATTEMPT_LIMIT_COUNT = 4
+_RETRY_DELAY_S = 0.5
 
 SendPacked = Callable[[bytes, bytes], None]
 
 
 @dataclass(slots=True, eq=False)
-class _Pending:
+class _PendingFlow:
     datagram: bytes
     service: str
     flow_id: int
     caller: bytes
     started_s: float
-    tries: int = 1
+    attempt_count: int = 1
 
 
 class FlowPlacer:
-    """Places flows by exact counts and has them opened.
+    """Places flows by exact counts and sends their openings.
 
     Parameters
     ----------
     sealer : Sealer
         Seals cookies and labels.
     endpoints : EndpointTable
-        The backend servers.
+        Backend servers.
     flows : FlowTable
-        Counts of what was placed here.
-    document_of : callable
-        Returns a service's document, or None.
+        Flows placed by this instance.
+    get_document : callable
+        Returns the document of a service, or None.
     send_backend, send_caller : callable
         Send a datagram to a packed address.
     now_s : callable
@@ -61,7 +61,7 @@
         sealer: Sealer,
         endpoints: EndpointTable,
         flows: FlowTable,
-        document_of: Callable[[str], ServiceDocument | None],
+        get_document: Callable[[str], ServiceDocument | None],
         send_backend: SendPacked,
         send_caller: SendPacked,
         now_s: Callable[[], float],
@@ -70,39 +70,39 @@
         self._sealer = sealer
         self._endpoints = endpoints
         self._flows = flows
-        self._document_of = document_of
+        self._get_document = get_document
         self._send_backend = send_backend
         self._send_caller = send_caller
         self._now_s = now_s
         self._counters = counters
-        self._pending: dict[int, _Pending] = {}
+        self._pending: dict[int, _PendingFlow] = {}
 
     def on_open(self, envelope: Envelope, caller: bytes) -> None:
-        """Open a flow, or answer a copy of its opening.
+        """Place a flow, or send the opening of a placed flow again.
 
         Parameters
         ----------
         envelope : Envelope
-            The caller's request to open.
+            Opening sent by the caller.
         caller : bytes
             Packed address of the caller.
         """
         key = flow_key(envelope.service, envelope.flow_id)
-        pending = _Pending(
+        pending = _PendingFlow(
             envelope.SerializeToString(),
             envelope.service,
             envelope.flow_id,
             caller,
             self._now_s(),
         )
-        placed = self._flows.find(key)
-        if placed is not None and not placed.gone:
-            self._send_open(pending, placed)
+        endpoint = self._flows.find(key)
+        if endpoint is not None and not endpoint.gone:
+            self._send_open(pending, endpoint)
             return
         self._place(key, pending)
 
-    def _place(self, key: int, pending: _Pending) -> None:
-        document = self._document_of(pending.service)
+    def _place(self, key: int, pending: _PendingFlow) -> None:
+        document = self._get_document(pending.service)
         if document is None:
             self._refuse(pending, Reason.NO_DOCUMENT)
             return
@@ -114,8 +114,8 @@
         now_s = self._now_s()
         endpoint = choose_for_stream(candidates, now_s, document.ramp_s)
         if endpoint is None:
-            is_open = any(candidate.takes_new_work for candidate in candidates)
-            reason = Reason.OVERLOADED if is_open else Reason.NO_ENDPOINT
+            accepts_work = any(candidate.takes_new_work for candidate in candidates)
+            reason = Reason.OVERLOADED if accepts_work else Reason.NO_ENDPOINT
             self._refuse(pending, reason)
             return
 
@@ -125,18 +125,18 @@
         self._counters["flow_placed"] += 1
         self._send_open(pending, endpoint)
 
-    def _refuse(self, pending: _Pending, reason: int) -> None:
+    def _refuse(self, pending: _PendingFlow, reason: int) -> None:
         self._counters["flow_refused_" + Reason.Name(reason).lower()] += 1
         verdict = Envelope(
             kind=Kind.REFUSED,
             service=pending.service,
             flow_id=pending.flow_id,
             reason=reason,
-            retry_after_ms=round(_RETRY_S * 1000),
+            retry_after_ms=round(_RETRY_DELAY_S * 1000),
         )
         self._send_caller(pending.caller, verdict.SerializeToString())
 
-    def _send_open(self, pending: _Pending, endpoint: Endpoint) -> None:
+    def _send_open(self, pending: _PendingFlow, endpoint: Endpoint) -> None:
         service = service_hash(pending.service)
         cookie = Cookie(
             endpoint.address, endpoint.incarnation, service, pending.flow_id
@@ -149,88 +149,88 @@
         ).SerializeToString()
         self._send_backend(endpoint.address, pending.datagram + suffix)
 
-    def is_placing(self, service: str, flow_id: int) -> bool:
-        """Tell whether a flow waits here for its backend server's answer.
+    def is_pending(self, service: str, flow_id: int) -> bool:
+        """Return whether a flow waits for the answer of its backend server.
 
         Parameters
         ----------
         service : str
-            The service.
+            Service name.
         flow_id : int
-            The flow.
+            Flow id.
 
         Returns
         -------
         bool
-            Whether it does.
+            Whether this instance placed it and has no answer yet.
         """
         return flow_key(service, flow_id) in self._pending
 
     def on_opened(self, service: str, flow_id: int) -> None:
-        """Note that a backend server took a flow.
+        """Record that a backend server accepted a flow.
 
         Parameters
         ----------
         service : str
-            The service.
+            Service name.
         flow_id : int
-            The flow.
+            Flow id.
         """
         key = flow_key(service, flow_id)
         if self._pending.pop(key, None) is not None:
             self._flows.confirm(key)
 
     def on_shed(self, service: str, flow_id: int, address: bytes) -> None:
-        """Place a flow elsewhere after a backend server did not take it.
+        """Place a flow again after a backend server refused it.
 
         Parameters
         ----------
         service : str
-            The service.
+            Service name.
         flow_id : int
-            The flow.
+            Flow id.
         address : bytes
-            The backend server.
+            Packed address of the backend server.
         """
         key = flow_key(service, flow_id)
-        placed = self._flows.find(key)
+        endpoint = self._flows.find(key)
         pending = self._pending.get(key)
-        if pending is None or placed is None or placed.address != address:
+        if pending is None or endpoint is None or endpoint.address != address:
             return
 
-        placed.fail(self._now_s())
+        endpoint.fail(self._now_s())
         self._flows.remove(key, None)
         del self._pending[key]
         self._counters["flow_shed"] += 1
-        pending.tries += 1
-        if pending.tries > _MOST_TRIES:
+        pending.attempt_count += 1
+        if pending.attempt_count > _ATTEMPT_LIMIT_COUNT:
             self._refuse(pending, Reason.OVERLOADED)
             return
         self._place(key, pending)
 
     def on_closed(self, service: str, flow_id: int, address: bytes) -> None:
-        """Uncount a flow that ended.
+        """Remove a flow that ended.
 
         Parameters
         ----------
         service : str
-            The service.
+            Service name.
         flow_id : int
-            The flow.
+            Flow id.
         address : bytes
-            Where it was.
+            Packed address of its backend server.
         """
         key = flow_key(service, flow_id)
         self._pending.pop(key, None)
         self._flows.remove(key, self._endpoints.by_address.get(address))
 
     def on_endpoint_gone(self, endpoint: Endpoint) -> None:
-        """Tell the callers of a backend server that died.
+        """Reset the flows of a backend server that ended.
 
         Parameters
         ----------
         endpoint : Endpoint
-            The backend server.
+            Backend server.
         """
         service = service_hash(endpoint.service)
         for key, caller in self._flows.remove_endpoint(endpoint):
@@ -244,28 +244,28 @@
             self._send_caller(caller, reset.SerializeToString())
 
     def expire_pending(self) -> None:
-        """Uncount flows whose backend server never answered."""
-        oldest_s = self._now_s() - _OPEN_TIMEOUT_S
+        """Remove flows whose backend server did not answer in time."""
+        earliest_start_s = self._now_s() - _OPENING_TIMEOUT_S
         for key, pending in list(self._pending.items()):
-            if pending.started_s < oldest_s:
+            if pending.started_s < earliest_start_s:
                 del self._pending[key]
                 self._flows.remove(key, None)
                 self._counters["flow_open_timeout"] += 1
 
 
 def flow_key(service: str, flow_id: int) -> int:
-    """Key of a flow among all services.
+    """Return the key of a flow among all services.
 
     Parameters
     ----------
     service : str
-        The service.
+        Service name.
     flow_id : int
-        The flow, as its caller named it.
+        Flow id chosen by the caller.
 
     Returns
     -------
     int
-        64 bits.
+        Key of 64 bits.
     """
     return flow_id ^ service_hash(service)
--- a/src/agatethread/entry/_requests.py
+++ b/src/agatethread/entry/_requests.py
@@ -1,9 +1,9 @@
-"""Requests at an entry instance: found their owner, standby, or a verdict at once."""
+"""Route requests and replies to the owner or standby of their operation."""
 
 from collections.abc import Callable
 
 from agatethread.entry._documents import DocumentBook
-from agatethread.entry._fragments import ask_for_missing
+from agatethread.entry._fragments import request_missing_fragments
 from agatethread.exceptions import DatagramError, TransferLimitError
 from agatethread.membership import MemberTable
 from agatethread.observability import Counters
@@ -33,30 +33,30 @@
     service_hash,
 )
 
-_DEFAULT_LIMIT_MS = 60_000
+_DEFAULT_DEADLINE_LIMIT_MS = 60_000
 
 
 class RequestDesk:
-    """Routes requests and replies to whoever may decide the operation.
+    """Routes requests and replies to the owner or standby of their operation.
 
     Parameters
     ----------
     entry : EntrySettings
-        Limits of the role.
+        Limits of the entry role.
     ports : Ports
-        The rest of the instance.
+        Callbacks of the instance.
     sealer : Sealer
-        Opens tokens and labels.
+        Decrypts tokens and labels.
     members : MemberTable
-        The fleet.
+        Entry instances.
     endpoints : EndpointTable
-        The backend servers.
-    book : DocumentBook
-        The documents.
+        Backend servers.
+    document_store : DocumentBook
+        Service documents.
     start_task : callable
         Runs a coroutine as a task of the instance.
     counters : Counters
-        Counts requests by what was done with them.
+        Counts requests by result.
     """
 
     def __init__(
@@ -66,7 +66,7 @@
         sealer: Sealer,
         members: MemberTable,
         endpoints: EndpointTable,
-        book: DocumentBook,
+        document_store: DocumentBook,
         start_task: Callable,
         counters: Counters,
     ):
@@ -74,7 +74,7 @@
         self._sealer = sealer
         self._members = members
         self._endpoints = endpoints
-        self._book = book
+        self._document_store = document_store
         self._counters = counters
         self._queues: dict[str, ServiceQueue] = {}
         self.claims = ClaimKeeper(
@@ -88,7 +88,7 @@
         self.owner = OperationOwner(
             ports,
             sealer,
-            self._queue_of,
+            self._get_queue,
             self._is_dispatcher,
             start_task,
             counters,
@@ -104,21 +104,21 @@
 
     @property
     def running_count(self) -> int:
-        """Operations without a verdict yet."""
+        """Number of operations without a verdict."""
         return self.owner.running_count
 
     @property
     def waiting_counts(self) -> dict[str, int]:
-        """Requests that wait for a slot, by service."""
+        """Number of requests that wait for a slot, by service."""
         return {name: queue.waiting for name, queue in self._queues.items()}
 
-    def _queue_of(self, service: str) -> ServiceQueue | None:
-        if service not in self._book.documents:
+    def _get_queue(self, service: str) -> ServiceQueue | None:
+        if service not in self._document_store.documents:
             return None
         queue = self._queues.get(service)
         if queue is None:
             queue = ServiceQueue(
-                lambda: self._book.documents[service],
+                lambda: self._document_store.documents[service],
                 lambda: self._endpoints.of_service(service),
                 self._ports.now_s,
             )
@@ -129,106 +129,105 @@
         return self._members.is_dispatcher(service_hash(service))
 
     def on_request(self, envelope: Envelope, caller: bytes) -> None:
-        """Take a request that a caller sent here.
+        """Handle a request that a caller sent to this instance.
 
         Parameters
         ----------
         envelope : Envelope
-            The request.
+            Request.
         caller : bytes
             Packed address of the caller.
 
         Raises
         ------
         DatagramError, SealError
-            If its operation id is malformed, or its token is not ours.
+            If its operation id is malformed or its token is invalid.
         """
-        token = self._token_of(envelope)
-        target = self._decider(envelope, token)
+        token = self._parse_request_token(envelope)
+        target = self._choose_decider(envelope, token)
         if target == self._members.me.ref:
-            self._decide_here(envelope, token, caller)
+            self._handle_locally(envelope, token, caller)
             return
         if target == NO_MEMBER:
-            self._say_unreachable(envelope, caller)
+            self._send_unreachable(envelope, caller)
             return
 
         self._counters["request_relayed"] += 1
         relay = Relay(caller=caller, datagram=envelope.SerializeToString())
         self._ports.send_peer(target.address, Peer(relay=relay))
 
-    def _say_unreachable(self, envelope: Envelope, caller: bytes) -> None:
+    def _send_unreachable(self, envelope: Envelope, caller: bytes) -> None:
         self._counters["home_lost"] += 1
-        fresh = self._ports.fresh_token(envelope.service)
-        # No verdict: an instance on the other side of a cut may reach the owner.
+        token = self._ports.fresh_token(envelope.service)
+        # Not a verdict, as another instance may still reach the owner.
         hint = Envelope(
-            kind=Kind.UNREACHABLE, operation_id=envelope.operation_id, token=fresh
+            kind=Kind.UNREACHABLE, operation_id=envelope.operation_id, token=token
         )
         self._ports.send_caller(caller, hint.SerializeToString())
 
-    def _token_of(self, envelope: Envelope) -> Token:
-        sealed, _ = operation_id_parts(envelope.operation_id)
-        token = parse_token(self._sealer, sealed)
+    def _parse_request_token(self, envelope: Envelope) -> Token:
+        sealed_token, _ = operation_id_parts(envelope.operation_id)
+        token = parse_token(self._sealer, sealed_token)
         if token.service != service_hash(envelope.service):
             raise DatagramError("wrong service")
         return token
 
-    def _decider(self, envelope: Envelope, token: Token) -> MemberRef:
+    def _choose_decider(self, envelope: Envelope, token: Token) -> MemberRef:
         if self._ports.is_alive(token.owner):
             return token.owner
-        # An idempotent operation is soon sent anew under a fresh token, so nobody
-        # needs to find out what its owner did; and were it run here too, the owner,
-        # if it is alive after all, could refuse it falsely.
+        # The caller retries an idempotent operation with a fresh token. If the standby
+        # ran it, an owner that is still alive could refuse it wrongly.
         if envelope.idempotent or not self._ports.is_alive(token.standby):
             return NO_MEMBER
         return token.standby
 
     def on_relayed_request(self, envelope: Envelope, caller: bytes) -> None:
-        """Take a request that another instance sent on.
+        """Handle a request that another instance relayed.
 
         Parameters
         ----------
         envelope : Envelope
-            The request.
+            Request.
         caller : bytes
             Packed address of the caller.
         """
-        self._decide_here(envelope, self._token_of(envelope), caller)
+        self._handle_locally(envelope, self._parse_request_token(envelope), caller)
 
-    def _decide_here(self, envelope: Envelope, token: Token, caller: bytes) -> None:
-        me = self._members.me.ref
-        if token.owner == me:
-            self._own(envelope, token, caller)
+    def _handle_locally(self, envelope: Envelope, token: Token, caller: bytes) -> None:
+        own_ref = self._members.me.ref
+        if token.owner == own_ref:
+            self._handle_as_owner(envelope, token, caller)
             return
-        if token.standby == me:
+        if token.standby == own_ref:
             self.claims.on_copy(envelope, token, caller)
             return
         self._counters["dropped_not_mine"] += 1
 
-    def _own(self, envelope: Envelope, token: Token, caller: bytes) -> None:
-        deadline_s = self._deadline_s(envelope)
+    def _handle_as_owner(self, envelope: Envelope, token: Token, caller: bytes) -> None:
+        timeout_s = self._get_timeout_s(envelope)
         if self.owner.knows(envelope.operation_id):
-            self.owner.on_request(envelope, token, caller, deadline_s)
+            self.owner.on_request(envelope, token, caller, timeout_s)
             return
         try:
-            whole = self._assembler.add(envelope.operation_id, caller, envelope)
+            request = self._assembler.add(envelope.operation_id, caller, envelope)
         except TransferLimitError:
             self._counters["transfer_refused"] += 1
             envelope.payload = b""
             envelope.ClearField("fragment_count")
             self.owner.refuse(envelope, token, caller, Reason.TOO_LARGE)
             return
-        if whole is not None:
-            self.owner.on_request(whole, token, caller, deadline_s)
+        if request is not None:
+            self.owner.on_request(request, token, caller, timeout_s)
 
     def on_missing(self, envelope: Envelope) -> None:
-        """Take a caller's request for fragments of its answer.
+        """Resend fragments of an answer that a caller misses.
 
         Parameters
         ----------
         envelope : Envelope
-            Names the operation and the fragments.
+            Operation id and the missing fragments.
         """
-        token = self._token_of(envelope)
+        token = self._parse_request_token(envelope)
         if token.owner == self._members.me.ref:
             self.owner.resend_verdict(envelope.operation_id, envelope.missing)
             return
@@ -236,14 +235,14 @@
         self._ports.send_peer(token.owner.address, Peer(relay=relay))
 
     def on_backend_missing(self, data: bytes, envelope: Envelope) -> None:
-        """Take a backend server's request for fragments of a request.
+        """Resend fragments of a request that a backend server misses.
 
         Parameters
         ----------
         data : bytes
-            The datagram.
+            Datagram.
         envelope : Envelope
-            The datagram, decoded.
+            Decoded datagram.
         """
         label = parse_label(self._sealer, envelope.return_label)
         if not isinstance(label, OperationLabel):
@@ -255,20 +254,22 @@
             return
         self._relay_reply(label.owner, data, b"")
 
-    def _deadline_s(self, envelope: Envelope) -> float:
-        document = self._book.documents.get(envelope.service)
-        limit_ms = document.deadline_limit_ms if document else _DEFAULT_LIMIT_MS
+    def _get_timeout_s(self, envelope: Envelope) -> float:
+        document = self._document_store.documents.get(envelope.service)
+        limit_ms = (
+            document.deadline_limit_ms if document else _DEFAULT_DEADLINE_LIMIT_MS
+        )
         return min(envelope.deadline_ms or limit_ms, limit_ms) / 1000
 
     def on_cancel(self, envelope: Envelope) -> None:
-        """Take a caller's cancellation.
+        """Handle a cancellation that a caller sent to this instance.
 
         Parameters
         ----------
         envelope : Envelope
-            Names the operation.
+            Cancellation with the operation id.
         """
-        token = self._token_of(envelope)
+        token = self._parse_request_token(envelope)
         if token.owner == self._members.me.ref:
             self.owner.on_cancel(envelope.operation_id)
             return
@@ -276,24 +277,24 @@
         self._ports.send_peer(token.owner.address, Peer(relay=relay))
 
     def on_relayed_cancel(self, envelope: Envelope) -> None:
-        """Take a cancellation that another instance sent on.
+        """Handle a cancellation that another instance relayed.
 
         Parameters
         ----------
         envelope : Envelope
-            Names the operation.
+            Cancellation with the operation id.
         """
         self.owner.on_cancel(envelope.operation_id)
 
     def on_backend_reply(self, data: bytes, envelope: Envelope, source: bytes) -> bool:
-        """Take a backend server's reply to an operation.
+        """Handle a reply of a backend server to an operation.
 
         Parameters
         ----------
         data : bytes
-            The datagram.
+            Datagram.
         envelope : Envelope
-            The datagram, decoded.
+            Decoded datagram.
         source : bytes
             Packed address of the backend server.
 
@@ -305,19 +306,19 @@
         Raises
         ------
         SealError
-            If its label is not ours.
+            If its label was not sealed by an entry instance.
         """
         label = parse_label(self._sealer, envelope.return_label)
         if not isinstance(label, OperationLabel):
             return False
 
-        me = self._members.me.ref
-        if label.owner != me and self._ports.is_alive(label.owner):
+        own_ref = self._members.me.ref
+        if label.owner != own_ref and self._ports.is_alive(label.owner):
             self._relay_reply(label.owner, data, source)
-        elif me not in (label.owner, label.standby):
+        elif own_ref not in (label.owner, label.standby):
             self._relay_reply(label.standby, data, source)
         else:
-            self._settle_here(label, envelope, source)
+            self._handle_reply(label, envelope, source)
         return True
 
     def _relay_reply(self, target: MemberRef, data: bytes, source: bytes) -> None:
@@ -328,12 +329,12 @@
         self._ports.send_peer(target.address, Peer(relay=relay))
 
     def on_relayed_reply(self, envelope: Envelope, source: bytes) -> bool:
-        """Take a backend server's reply that another instance sent on.
+        """Handle a reply of a backend server that another instance relayed.
 
         Parameters
         ----------
         envelope : Envelope
-            The reply.
+            Reply of the backend server.
         source : bytes
             Packed address of the backend server.
 
@@ -345,10 +346,10 @@
         label = parse_label(self._sealer, envelope.return_label)
         if not isinstance(label, OperationLabel):
             return False
-        self._settle_here(label, envelope, source)
+        self._handle_reply(label, envelope, source)
         return True
 
-    def _settle_here(
+    def _handle_reply(
         self, label: OperationLabel, envelope: Envelope, source: bytes
     ) -> None:
         operation_id = envelope.operation_id
@@ -363,35 +364,35 @@
             self.owner.on_reply(operation_id, label, envelope)
         else:
             self.claims.on_reply(operation_id, label, envelope)
-        received = Envelope(
+        receipt = Envelope(
             kind=Kind.RECEIVED,
             service=envelope.service,
             operation_id=operation_id,
             attempt=envelope.attempt,
         )
-        self._ports.send_backend(source, received.SerializeToString())
+        self._ports.send_backend(source, receipt.SerializeToString())
 
-    def pump(self, service: str) -> None:
-        """Give out slots that a backend server's change has opened.
+    def grant_waiting(self, service: str) -> None:
+        """Grant free slots to waiting requests after a change of a backend server.
 
         Parameters
         ----------
         service : str
-            The service.
+            Service name.
         """
         queue = self._queues.get(service)
         if queue is not None:
             queue.pump()
 
-    def refuse_waiting(self) -> None:
-        """Refuse what has not been dispatched, on leaving."""
+    def refuse_queued(self) -> None:
+        """Refuse the requests that wait for a slot, before leaving."""
         for queue in self._queues.values():
             queue.refuse_all(Reason.MOVED)
 
     def sweep(self) -> None:
-        """Do what is due: give out slots, decide for dead owners, expire records."""
+        """Run the periodic work of slots, missing fragments, claims and records."""
         for queue in self._queues.values():
             queue.pump()
-        ask_for_missing(self._assembler, self._ports)
+        request_missing_fragments(self._assembler, self._ports)
         self.claims.sweep()
         self.owner.expire()
--- a/tests/entry/test_announcements.py
+++ b/tests/entry/test_announcements.py
@@ -1,6 +1,6 @@
 import unittest
 
-from agatethread.entry._announcements import AnnouncementDesk
+from agatethread.entry._announcements import AnnouncementHandler
 from agatethread.exceptions import DatagramError
 from agatethread.observability import Counters
 from agatethread.routing import EndpointTable
@@ -11,12 +11,12 @@
 ENTRY = EntrySettings("127.0.0.1:1", "127.0.0.1:2", "unused")
 
 
-class DeskCase(unittest.TestCase):
-    def make_desk(self, table):
+class AnnouncementCase(unittest.TestCase):
+    def make_handler(self, table):
         self.clock = Clock()
         self.endpoints = EndpointTable()
         self.sent, self.gone, self.acknowledged = [], [], []
-        return AnnouncementDesk(
+        return AnnouncementHandler(
             ENTRY,
             table,
             self.endpoints,
@@ -28,56 +28,56 @@
             Counters(),
         )
 
-    def pass_time(self, desk, seconds):
+    def advance_clock(self, handler, seconds):
         end_s = self.clock.value_s + seconds
         while self.clock.value_s < end_s:
             self.clock.value_s += 0.1
-            desk.sweep()
+            handler.sweep()
 
-    def announce(self, desk, **fields):
+    def announce(self, handler, **fields):
         envelope = Envelope(kind=Kind.ANNOUNCE, announcement=announcement(**fields))
-        desk.on_announce(envelope, address(9001))
+        handler.on_announce(envelope, address(9001))
 
 
-def bystander(table):
-    """An instance that is third for the tab service, and the one before it."""
+def rank_third_and_first(table):
+    """Return the third and the first instance in the ranking of the tab service."""
     ranked = table.rank(service_hash("tab"), 3)
     return ranked[2], ranked[0]
 
 
-class TestLeases(DeskCase):
-    def test_new_holder_waits_a_lease(self):
-        """An instance that becomes a holder ends no lease it never heard refreshed."""
-        third, first = bystander(fleet_table(5))
+class TestLeases(AnnouncementCase):
+    def test_new_lease_holder_extends_leases(self):
+        """A new lease holder waits for one lease time before it ends a lease."""
+        third, first = rank_third_and_first(fleet_table(5))
         table = fleet_table(5, me=int(third.name.split("-")[1]))
-        desk = self.make_desk(table)
-        desk.on_relayed(announcement(address=address(9001)))
-        self.pass_time(desk, 60)
+        handler = self.make_handler(table)
+        handler.on_relayed(announcement(address=address(9001)))
+        self.advance_clock(handler, 60)
         table.apply(dead(first))
-        desk.sweep()
+        handler.sweep()
         self.assertEqual(self.gone, [])
-        self.pass_time(desk, 3.1)
+        self.advance_clock(handler, 3.1)
         self.assertEqual(len(self.gone), 1)
 
-    def test_silence_of_a_cut_domain_ends_nothing(self):
-        """A lease that ran out while its domain was out of sight resets no flow."""
+    def test_keeps_leases_of_unreachable_domain(self):
+        """A lease that expired in an unreachable failure domain is extended."""
         table = fleet_table(1)
-        desk = self.make_desk(table)
-        self.announce(desk, failure_domain="b")
-        self.pass_time(desk, 60)
+        handler = self.make_handler(table)
+        self.announce(handler, failure_domain="b")
+        self.advance_clock(handler, 60)
         self.assertEqual(self.gone, [])
         table.apply(member(2, "b"))
-        desk.sweep()
+        handler.sweep()
         self.assertEqual(self.gone, [])
-        self.pass_time(desk, 3.1)
+        self.advance_clock(handler, 3.1)
         self.assertEqual(len(self.gone), 1)
 
-    def test_cut_domain_gets_no_new_work(self):
-        """While a failure domain is out of sight its backend servers get nothing."""
+    def test_unreachable_domain_gets_no_new_work(self):
+        """Backend servers in an unreachable failure domain get no new work."""
         table = fleet_table(1)
         table.apply(member(2, "b"))
-        desk = self.make_desk(table)
-        self.announce(desk, failure_domain="b")
+        handler = self.make_handler(table)
+        self.announce(handler, failure_domain="b")
         endpoint = self.endpoints.by_address[address(9001)]
         self.assertTrue(endpoint.takes_new_work)
         table.apply(dead(member(2, "b")))
@@ -85,57 +85,57 @@
         table.apply(member(2, "b", counter=1))
         self.assertTrue(endpoint.takes_new_work)
 
-    def test_process_that_was_stopped_ends_nothing(self):
-        """After a pause of the process each backend server gets one more lease."""
+    def test_extends_leases_after_pause_of_process(self):
+        """After a pause of the process no lease ends at once."""
         table = fleet_table(1)
-        desk = self.make_desk(table)
-        self.announce(desk)
-        desk.sweep()
+        handler = self.make_handler(table)
+        self.announce(handler)
+        handler.sweep()
         self.clock.value_s += 30
-        desk.sweep()
+        handler.sweep()
         self.assertEqual(self.gone, [])
 
 
-class TestTelling(DeskCase):
-    def test_change_goes_to_all_and_refresh_to_holders(self):
-        """A change is told to every instance, a refresh to the holders only."""
+class TestForwarding(AnnouncementCase):
+    def test_sends_changes_to_all_and_refreshes_to_lease_holders(self):
+        """A change is sent to every instance, a refresh to lease holders only."""
         table = fleet_table(7)
-        desk = self.make_desk(table)
-        self.announce(desk)
+        handler = self.make_handler(table)
+        self.announce(handler)
         self.assertEqual(len(self.sent), 6)
         self.sent.clear()
-        self.announce(desk, sequence=2)
+        self.announce(handler, sequence=2)
         self.assertLessEqual(len(self.sent), 2)
         self.sent.clear()
-        self.announce(desk, sequence=3, draining=True)
+        self.announce(handler, sequence=3, draining=True)
         self.assertEqual(len(self.sent), 6)
 
-    def test_newcomer_is_told_what_its_dispatcher_holds(self):
-        """The dispatcher, and nobody else, tells a new instance what it holds."""
+    def test_only_dispatcher_sends_endpoints_to_new_instance(self):
+        """A new instance receives a backend server only from its dispatcher."""
         ranked = fleet_table(3).rank(service_hash("tab"), 3)
-        told = {}
+        sent_counts = {}
         for me in ranked:
-            desk = self.make_desk(fleet_table(3, me=int(me.name.split("-")[1])))
-            desk.on_relayed(announcement(address=address(9001)))
-            desk.tell_newcomer(member(9))
-            told[me.name] = len(self.sent)
-        self.assertEqual(list(told.values()), [1, 0, 0])
-
-    def test_acknowledgement_names_the_near_instances(self):
-        """A backend server is pointed to its own failure domain, others apart."""
+            handler = self.make_handler(fleet_table(3, me=int(me.name.split("-")[1])))
+            handler.on_relayed(announcement(address=address(9001)))
+            handler.send_endpoints_to(member(9))
+            sent_counts[me.name] = len(self.sent)
+        self.assertEqual(list(sent_counts.values()), [1, 0, 0])
+
+    def test_acknowledgement_lists_instances_of_own_domain(self):
+        """Instances of other failure domains are listed as fallbacks."""
         table = fleet_table(3)
         table.apply(member(9, "b"))
-        desk = self.make_desk(table)
-        self.announce(desk)
+        handler = self.make_handler(table)
+        self.announce(handler)
         (acknowledgement,) = self.acknowledged
-        near = {"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}
-        self.assertEqual(set(acknowledgement.instances), near)
+        own_domain_addresses = {"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"}
+        self.assertEqual(set(acknowledgement.instances), own_domain_addresses)
         self.assertEqual(acknowledgement.fallback_instances, ["127.0.0.1:9"])
 
-    def test_nonsense_is_refused(self):
+    def test_rejects_announcement_without_required_field(self):
         """An announcement without service, incarnation or lease changes nothing."""
-        desk = self.make_desk(fleet_table(2))
+        handler = self.make_handler(fleet_table(2))
         for fields in ({"service": ""}, {"incarnation": 0}, {"lease_ms": 0}):
             with self.subTest(fields), self.assertRaises(DatagramError):
-                self.announce(desk, **fields)
+                self.announce(handler, **fields)
         self.assertEqual(self.endpoints.by_address, {})
--- a/tests/entry/test_documents.py
+++ b/tests/entry/test_documents.py
@@ -13,7 +13,7 @@
 
 
 class FakeStream:
-    """Brings updates, and notes what was acknowledged."""
+    """Stream double that returns updates and records acknowledged indexes."""
 
     def __init__(self, *updates):
         self.updates = list(updates)
@@ -28,40 +28,47 @@
 
 class TestDocumentBook(unittest.TestCase):
     def setUp(self):
-        self.book = DocumentBook()
-        self.book.take(WatchUpdate(index=1, documents=[record("tab", 1, 1)]))
+        self.document_store = DocumentBook()
+        self.document_store.take(WatchUpdate(index=1, documents=[record("tab", 1, 1)]))
 
     def versions(self):
-        return {name: one.version for name, one in self.book.documents.items()}
+        return {
+            name: document.version
+            for name, document in self.document_store.documents.items()
+        }
 
-    def test_gap_of_one_stream_is_filled_by_another(self):
-        """A document that one stream left out is taken from any other's update."""
-        self.book.take(WatchUpdate(index=2))
-        full = [record("tab", 1, 1), record("receipts", 1, 2)]
-        self.assertTrue(self.book.take(WatchUpdate(index=2, documents=full)))
+    def test_applies_document_missing_from_other_stream(self):
+        """A document missing from one stream is applied from another one."""
+        self.document_store.take(WatchUpdate(index=2))
+        all_records = [record("tab", 1, 1), record("receipts", 1, 2)]
+        self.assertTrue(
+            self.document_store.take(WatchUpdate(index=2, documents=all_records))
+        )
         self.assertEqual(self.versions(), {"tab": 1, "receipts": 1})
 
-    def test_nothing_goes_back(self):
-        """An update of a control instance that is behind changes nothing."""
-        new = WatchUpdate(index=3, documents=[record("tab", 2, 3)], drained=["entry-2"])
-        self.assertTrue(self.book.take(new))
-        old = WatchUpdate(index=1, documents=[record("tab", 1, 1)])
-        self.assertFalse(self.book.take(old))
+    def test_ignores_outdated_update(self):
+        """An update of a control instance that lags behind changes nothing."""
+        newer_update = WatchUpdate(
+            index=3, documents=[record("tab", 2, 3)], drained=["entry-2"]
+        )
+        self.assertTrue(self.document_store.take(newer_update))
+        outdated_update = WatchUpdate(index=1, documents=[record("tab", 1, 1)])
+        self.assertFalse(self.document_store.take(outdated_update))
         self.assertEqual(self.versions(), {"tab": 2})
-        self.assertEqual(self.book.drained, {"entry-2"})
-        self.assertEqual(self.book.index, 3)
+        self.assertEqual(self.document_store.drained, {"entry-2"})
+        self.assertEqual(self.document_store.index, 3)
 
-    def test_heartbeat_is_no_change(self):
-        """What is known already is not taken again."""
-        self.assertFalse(self.book.take(WatchUpdate(index=1)))
+    def test_heartbeat_changes_nothing(self):
+        """An update without a newer index changes nothing."""
+        self.assertFalse(self.document_store.take(WatchUpdate(index=1)))
 
-    def test_watcher_takes_what_another_stream_left_out(self):
-        """A document at an index that is known already is put in force."""
-        told = []
+    def test_watcher_applies_new_document_at_known_index(self):
+        """A new document is applied though the index of the update is known."""
+        applied_versions = []
         watcher = DocumentWatcher(
             Settings("entry-1", "north", ("entry",), "127.0.0.1:1"),
-            self.book,
-            lambda: told.append(self.versions()),
+            self.document_store,
+            lambda: applied_versions.append(self.versions()),
             Counters(),
         )
         stream = FakeStream(
@@ -69,6 +76,6 @@
             WatchUpdate(index=2, documents=[record("receipts", 1, 2)]),
             WatchUpdate(index=2),
         )
-        asyncio.run(watcher._follow(stream))
-        self.assertEqual(told, [{"tab": 1}, {"tab": 1, "receipts": 1}])
+        asyncio.run(watcher._receive_updates(stream))
+        self.assertEqual(applied_versions, [{"tab": 1}, {"tab": 1, "receipts": 1}])
         self.assertEqual(stream.acknowledged, [1, 2])
--- a/tests/entry/test_instance.py
+++ b/tests/entry/test_instance.py
@@ -45,7 +45,7 @@
 
 
 class FakeSocket:
-    """Gives out what a test put in."""
+    """Socket double that returns prepared datagrams."""
 
     def __init__(self, items):
         self._items = list(items)
@@ -57,7 +57,7 @@
 
 
 class InstanceCase(unittest.TestCase):
-    """A real instance that is not started: datagrams go straight to its handlers."""
+    """Passes datagrams to the handlers of an instance that is not started."""
 
     @classmethod
     def setUpClass(cls):
@@ -92,29 +92,36 @@
             (Envelope.FromString(data), target)
         )
 
-    def hear(self, **fields):
+    def announce(self, **fields):
         values = {"address": pack_address(BACKEND)} | fields
         self.instance.announcements.on_relayed(announcement(**values))
 
-    def data(self, service="tab", flow_id=7, named=None, incarnation=1, kind=Kind.DATA):
+    def data(
+        self,
+        service="tab",
+        flow_id=7,
+        service_field=None,
+        incarnation=1,
+        kind=Kind.DATA,
+    ):
         cookie = Cookie(
             pack_address(BACKEND), incarnation, service_hash(service), flow_id
         )
         envelope = Envelope(
             kind=kind,
-            service=named or service,
+            service=service_field or service,
             flow_id=flow_id,
             cookie=seal_cookie(self.instance.sealer, cookie),
         )
         return envelope.SerializeToString()
 
     def from_caller(self, *datagrams):
-        handler = self.instance._datagrams.on_caller_datagram
+        handler = self.instance._datagram_router.on_caller_datagram
         socket = FakeSocket((data, CALLER) for data in datagrams)
         drain_into(socket, handler, self.counters)()
 
     def from_inner(self, *datagrams, source=BACKEND):
-        handler = self.instance._datagrams.on_inner_datagram
+        handler = self.instance._datagram_router.on_inner_datagram
         socket = FakeSocket((data, source) for data in datagrams)
         drain_into(socket, handler, self.counters)()
 
@@ -128,10 +135,10 @@
             len(instance.flows),
             len(instance.requests.owner),
             len(instance.requests.claims),
-            dict(instance.book.documents),
+            dict(instance.document_store.documents),
         )
 
-    def check_unmoved(self, datagrams):
+    def check_state_unchanged(self, datagrams):
         before = self.state()
         self.from_caller(*datagrams)
         self.from_inner(*datagrams)
@@ -140,40 +147,40 @@
         self.assertEqual(self.to_backend, [])
 
     def test_random_bytes_change_nothing(self):
-        """Random datagrams are dropped, counted, and change no state."""
+        """Random datagrams are dropped and counted."""
 
         @given(st.lists(st.binary(max_size=2_048), max_size=20))
         def check(datagrams):
-            self.check_unmoved(datagrams)
+            self.check_state_unchanged(datagrams)
 
         check()
         self.assertGreater(self.counters["dropped_malformed"], 0)
         self.assertGreater(self.counters["dropped_no_kind"], 0)
 
     def test_forged_envelopes_change_nothing(self):
-        """Well-formed datagrams with seals of nobody's change no state."""
+        """Well-formed datagrams with forged seals are dropped and counted."""
 
         @given(st.lists(FORGED, max_size=10))
         def check(datagrams):
-            self.check_unmoved(datagrams)
+            self.check_state_unchanged(datagrams)
 
         check()
         self.assertGreater(self.counters["dropped_forged"], 0)
 
     def test_oversized_datagrams_change_nothing(self):
-        """A datagram above the limit is dropped and counted, even a sealed one."""
-        good = Envelope.FromString(self.data())
-        good.payload = bytes(1_400)
-        self.check_unmoved([good.SerializeToString()])
+        """A datagram above the size limit is dropped though its seal is valid."""
+        valid = Envelope.FromString(self.data())
+        valid.payload = bytes(1_400)
+        self.check_state_unchanged([valid.SerializeToString()])
         self.assertEqual(self.counters["dropped_oversized"], 2)
 
     def test_truncated_datagrams_change_nothing(self):
-        """Every prefix of a good datagram is dropped or refused."""
-        good = self.data()
-        self.check_unmoved([good[:size] for size in range(len(good) - 8)])
+        """Every prefix of a valid datagram is dropped or rejected."""
+        valid = self.data()
+        self.check_state_unchanged([valid[:size] for size in range(len(valid) - 8)])
 
-    def test_a_fault_of_ours_does_not_end_the_process(self):
-        """An exception in a handler is counted and the next datagram is served."""
+    def test_continues_after_exception_in_handler(self):
+        """An exception in a handler is counted and the next datagram is handled."""
 
         def handler(data, _):
             raise RuntimeError(data)
@@ -185,14 +192,14 @@
 
 
 class TestForwarding(InstanceCase):
-    def test_flow_never_heard_of_is_forwarded(self):
-        """A cookie is enough: an instance that knows nothing forwards its flow."""
+    def test_forwards_unknown_flow_with_valid_cookie(self):
+        """An instance without state forwards a flow with a valid cookie."""
         self.from_caller(self.data())
         (envelope, target), *rest = self.to_backend
         self.assertEqual((target, rest, envelope.incarnation), (BACKEND, [], 1))
 
-    def test_reply_finds_its_caller_through_any_instance(self):
-        """A label is enough to bring a reply back, but only from its own source."""
+    def test_forwards_reply_by_its_label(self):
+        """A reply is forwarded by its label, but only from the labelled source."""
         self.from_caller(self.data())
         label = self.to_backend[0][0].return_label
         push = Envelope(kind=Kind.PUSH, flow_id=7, return_label=label)
@@ -202,37 +209,37 @@
         self.from_inner(data)
         self.assertEqual(self.to_caller[0][1], CALLER)
 
-    def test_packet_of_one_service_never_reaches_another(self):
-        """A datagram that names another service than its cookie is dropped."""
-        self.from_caller(self.data(service="tab", named="receipts"))
+    def test_drops_datagram_with_service_other_than_its_cookie(self):
+        """A datagram never reaches another service than that of its cookie."""
+        self.from_caller(self.data(service="tab", service_field="receipts"))
         self.assertEqual(self.to_backend, [])
         self.assertEqual(self.counters["dropped_wrong_service"], 1)
 
-    def test_reused_address_gets_no_old_packet(self):
-        """Once an address is another service's, its old flows are reset instead."""
-        self.hear()
+    def test_resets_old_flows_of_reused_address(self):
+        """Old flows of an address that another service uses now are reset."""
+        self.announce()
         self.from_caller(self.data())
         self.assertEqual(len(self.to_backend), 1)
-        self.hear(service="receipts", incarnation=2)
+        self.announce(service="receipts", incarnation=2)
         self.from_caller(self.data())
         self.assertEqual(len(self.to_backend), 1)
         self.assertEqual(self.to_caller[0][0].reason, Reason.ENDPOINT_GONE)
 
-    def test_stale_announcement_changes_nothing(self):
-        """An older incarnation's delayed announcement does not take an address back."""
-        self.hear(service="receipts", incarnation=2)
-        self.hear(service="tab", incarnation=1, sequence=99)
+    def test_ignores_stale_announcement(self):
+        """A delayed announcement of an older incarnation changes nothing."""
+        self.announce(service="receipts", incarnation=2)
+        self.announce(service="tab", incarnation=1, sequence=99)
         endpoint = self.instance.endpoints.by_address[pack_address(BACKEND)]
         self.assertEqual(endpoint.service, "receipts")
 
-    def test_cookie_newer_than_our_news_is_forwarded(self):
-        """A flow of a run that we have not heard of yet is not reset."""
-        self.hear()
+    def test_forwards_flow_of_newer_unknown_run(self):
+        """A flow of a run without an announcement yet is not reset."""
+        self.announce()
         self.from_caller(self.data(incarnation=2))
         self.assertEqual(len(self.to_backend), 1)
 
-    def test_flow_id_must_match_its_cookie(self):
-        """A cached route serves only the flow that its cookie names."""
+    def test_drops_flow_id_other_than_its_cookie(self):
+        """A cached route is used only for the flow of its cookie."""
         self.from_caller(self.data(flow_id=7))
         other = Envelope.FromString(self.data(flow_id=7))
         other.flow_id = 8
