--- a/src/agatethread/transfer/__init__.py
+++ b/src/agatethread/transfer/__init__.py
@@ -1,6 +1,6 @@
 """Split messages into fragments and reassemble them."""
 
-from agatethread.transfer._assembler import Assembler, Partial
+from agatethread.transfer._assembler import Assembler, PartialMessage
 from agatethread.transfer._outbox import Outbox
 from agatethread.transfer._splitting import (
     FRAGMENT_BYTES,
@@ -14,7 +14,7 @@
     "MAX_MESSAGE_BYTES",
     "Assembler",
     "Outbox",
-    "Partial",
+    "PartialMessage",
     "split",
     "split_datagram",
 ]
--- a/src/agatethread/transfer/_assembler.py
+++ b/src/agatethread/transfer/_assembler.py
@@ -15,11 +15,11 @@
 #: Time without a fragment after which a message is dropped.
 _MESSAGE_TIMEOUT_S = 10.0
 #: Limit of indices in one request for missing fragments.
-MISSING_IN_DATAGRAM = 128
+MISSING_LIMIT_COUNT = 128
 
 
 @dataclass(eq=False)
-class Partial:
+class PartialMessage:
     """Incomplete message with the fragments received so far."""
 
     first: Envelope
@@ -45,7 +45,7 @@
         for index in range(self.first.fragment_count):
             if index not in self.payloads:
                 indices.append(index)
-                if len(indices) == MISSING_IN_DATAGRAM:
+                if len(indices) == MISSING_LIMIT_COUNT:
                     break
         return indices
 
@@ -69,7 +69,7 @@
         self._now_s = now_s
         self._limit_bytes = limit_bytes
         self._source_limit_bytes = source_limit_bytes
-        self._partials: dict[Hashable, Partial] = {}
+        self._partials: dict[Hashable, PartialMessage] = {}
         self._reserved_by_source: Counter[bytes] = Counter()
         self.reserved_bytes = 0
 
@@ -112,8 +112,8 @@
 
     def _start_message(
         self, key: Hashable, source: bytes, envelope: Envelope
-    ) -> Partial:
-        partial = Partial(envelope, source, self._now_s())
+    ) -> PartialMessage:
+        partial = PartialMessage(envelope, source, self._now_s())
         size_bytes = partial.reserved_bytes
         if size_bytes > MAX_MESSAGE_BYTES + FRAGMENT_BYTES:
             raise TransferLimitError("message exceeds the size limit")
@@ -128,7 +128,7 @@
         return partial
 
     @staticmethod
-    def _check_fragment(partial: Partial, envelope: Envelope) -> None:
+    def _check_fragment(partial: PartialMessage, envelope: Envelope) -> None:
         first = partial.first
         is_same_message = (envelope.fragment_count, envelope.checksum) == (
             first.fragment_count,
@@ -142,7 +142,7 @@
         ):
             raise DatagramError("wrong fragment")
 
-    def _join_fragments(self, key: Hashable, partial: Partial) -> Envelope:
+    def _join_fragments(self, key: Hashable, partial: PartialMessage) -> Envelope:
         self.drop(key)
         count = partial.first.fragment_count
         payload = b"".join(partial.payloads[index] for index in range(count))
@@ -172,12 +172,12 @@
         if not self._reserved_by_source[partial.source]:
             del self._reserved_by_source[partial.source]
 
-    def take_quiet(self) -> list[tuple[Partial, list[int]]]:
+    def take_quiet(self) -> list[tuple[PartialMessage, list[int]]]:
         """Return the due requests for missing fragments, and drop abandoned messages.
 
         Returns
         -------
-        list of (Partial, list of int)
+        list of (PartialMessage, list of int)
             Incomplete messages with the indices of missing fragments.
         """
         now_s = self._now_s()
