--- a/src/agatethread/client/_waiting.py
+++ b/src/agatethread/client/_waiting.py
@@ -30,7 +30,7 @@
 
     def __init__(self, request: Envelope) -> None:
         self.service = request.service
-        # A small idempotent request is retried at once with a fresh token.
+        # After one hint a small idempotent request is retried with a fresh token.
         is_small = len(request.payload) <= MAX_PAYLOAD_BYTES
         self.may_restart = request.idempotent and is_small
         self.verdict = asyncio.get_running_loop().create_future()
--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -21,7 +21,7 @@
 from agatethread.routing import Endpoint, EndpointTable, FlowTable
 from agatethread.settings import EntrySettings, Settings, parse_address
 from agatethread.sockets import (
-    Handler,
+    DatagramHandler,
     drain_into,
     open_socket,
     send_or_count,
@@ -198,7 +198,7 @@
         self.add_future(self._warm_up())
         log.info("entry instance started", listen=self.settings.entry.listen)
 
-    def _read_from(self, sock: socket, handler: Handler) -> None:
+    def _read_from(self, sock: socket, handler: DatagramHandler) -> None:
         start_reading(sock, drain_into(sock, handler, self.counters))
 
     async def _warm_up(self) -> None:
--- a/src/agatethread/sockets/__init__.py
+++ b/src/agatethread/sockets/__init__.py
@@ -1,7 +1,7 @@
 """Datagram sockets of the event loop."""
 
 from agatethread.sockets._datagrams import (
-    Handler,
+    DatagramHandler,
     drain_into,
     open_socket,
     send_or_count,
@@ -10,7 +10,7 @@
 )
 
 __all__ = [
-    "Handler",
+    "DatagramHandler",
     "drain_into",
     "open_socket",
     "send_or_count",
--- a/src/agatethread/sockets/_datagrams.py
+++ b/src/agatethread/sockets/_datagrams.py
@@ -13,7 +13,7 @@
 _BUFFER_BYTES = 4 << 20
 _RECEIVE_BYTES = 2_048
 
-Handler = Callable[[bytes, tuple[str, int]], None]
+DatagramHandler = Callable[[bytes, tuple[str, int]], None]
 
 log = make_logger("sockets")
 
@@ -45,7 +45,7 @@
 
 
 def drain_into(
-    sock: socket.socket, handler: Handler, counters: Counters
+    sock: socket.socket, handler: DatagramHandler, counters: Counters
 ) -> Callable[[], None]:
     """Return a function that reads the datagrams waiting at a socket.
 
