--- a/src/agatethread/control/__init__.py
+++ b/src/agatethread/control/__init__.py
@@ -1,4 +1,4 @@
-"""Control role: a replicated log of service documents, handed to entry instances."""
+"""Control role: a replicated log of service documents, sent to entry instances."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -25,7 +25,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    # Loads gRPC, which a process that keeps a routing table needs only later.
+    # Lazy: the import loads gRPC, which delays the start of a RoutingControl process.
     if name == "ControlInstance":
         from agatethread.control._instance import ControlInstance
 
--- a/src/agatethread/control/_ballot.py
+++ b/src/agatethread/control/_ballot.py
@@ -1,21 +1,21 @@
-"""A member's term and vote, as they stand on its disk."""
+"""Durable term and vote of a member."""
 
 from agatethread.control._storage import LogStorage
 from agatethread.wire.control_pb2 import HardState, VoteRequest
 
-#: Term and index of a log's last entry: the later log is the one with the larger pair.
+#: Term and index of a log's last entry; the larger pair is the more recent log.
 LogEnd = tuple[int, int]
 
 
 class Ballot:
-    """Term and vote; each change is on the disk before it counts.
+    """Term and vote of a member; each change is written before it takes effect.
 
     Parameters
     ----------
     storage : LogStorage
-        The disk.
+        Files that hold the term and the vote.
     hard_state : HardState
-        As recovered.
+        The recovered term, vote and name.
     """
 
     def __init__(self, storage: LogStorage, hard_state: HardState):
@@ -23,9 +23,9 @@
         self._member_name = hard_state.member_name
         self.term = hard_state.term
         self._voted_for = hard_state.voted_for
-        # An empty disk may be a lost one, that forgot its votes and entries. Until a
-        # leader has filled it, it votes only for a log that never held anything, and
-        # such a log needs every member's vote: one that holds entries says no.
+        # An empty disk may have lost votes and entries. Until a leader has replicated
+        # to it, it votes only for an empty log, and a candidate with an empty log needs
+        # the vote of every member: a member that holds entries refuses.
         self.may_vote = hard_state.may_vote
 
     def _save(self, term: int, voted_for: str) -> None:
@@ -39,13 +39,13 @@
         self.term = term
         self._voted_for = voted_for
 
-    def adopt(self, term: int) -> None:
-        """Take a newer term, without a vote in it.
+    def adopt_term(self, term: int) -> None:
+        """Store a newer term without a vote.
 
         Parameters
         ----------
         term : int
-            The term.
+            The newer term.
 
         Raises
         ------
@@ -54,13 +54,13 @@
         """
         self._save(term, "")
 
-    def stand(self, name: str) -> None:
-        """Take the next term and vote for oneself.
+    def start_candidacy(self, name: str) -> None:
+        """Start the next term and store a vote for this member.
 
         Parameters
         ----------
         name : str
-            This member.
+            Name of this member.
 
         Raises
         ------
@@ -69,8 +69,8 @@
         """
         self._save(self.term + 1, name)
 
-    def allow(self) -> None:
-        """Let a disk vote that a leader has filled.
+    def enable_voting(self) -> None:
+        """Allow this member to vote, after a leader has replicated to it.
 
         Raises
         ------
@@ -82,7 +82,7 @@
             self._save(self.term, self._voted_for)
 
     def would_vote(self, request: VoteRequest, log_end: LogEnd) -> bool:
-        """Tell whether a candidate's log allows a vote for it.
+        """Return whether a candidate's log allows a vote for it.
 
         Parameters
         ----------
@@ -94,30 +94,30 @@
         Returns
         -------
         bool
-            Whether the log is up to date, and this disk may vote for it.
+            Whether the log is up to date and this member may vote for it.
         """
         is_up_to_date = (request.last_term, request.last_index) >= log_end
         return is_up_to_date and (self.may_vote or request.last_index == 0)
 
-    def vote(self, request: VoteRequest, log_end: LogEnd) -> bool:
-        """Give a candidate the vote of its term, if it may have it.
+    def grant_vote(self, request: VoteRequest, log_end: LogEnd) -> bool:
+        """Store the vote for a candidate, if it can be granted.
 
         Parameters
         ----------
         request : VoteRequest
-            The candidate's request, of a term that was adopted.
+            The candidate's request; its term has been adopted if it was newer.
         log_end : tuple of (int, int)
             Term and index of this member's last entry.
 
         Returns
         -------
         bool
-            Whether it has the vote.
+            Whether the vote is granted.
 
         Raises
         ------
         DiskFullError
-            If it could not be written; there is no vote.
+            If it could not be written; the vote is not granted.
         """
         if request.term != self.term:
             return False
--- a/src/agatethread/control/_disk_health.py
+++ b/src/agatethread/control/_disk_health.py
@@ -1,15 +1,15 @@
-"""When a member whose disk refuses writes should let others lead."""
+"""Decides when a member with failing disk writes gives up leadership."""
 
 from collections.abc import Callable
 
-#: Refused writes in a row after which a leader lets another one lead: one may pass.
-_FAILURES_BORNE = 2
-#: Pause before an instance that could not write stands for election again.
-_PAUSE_S = 2.0
+#: Consecutive failed writes after which a leader steps down; one may be transient.
+_STEP_DOWN_FAILURE_COUNT = 2
+#: Time for which a member with a failed write does not become a candidate.
+_CANDIDACY_PAUSE_S = 2.0
 
 
 class DiskHealth:
-    """Counts refused writes.
+    """Counts consecutive failed writes.
 
     Parameters
     ----------
@@ -19,32 +19,32 @@
 
     def __init__(self, now_s: Callable[[], float]):
         self._now_s = now_s
-        self._failures = 0
-        self._may_stand_s = 0.0
+        self._failure_count = 0
+        self._candidacy_allowed_s = 0.0
 
-    def succeed(self) -> None:
-        """Note that a write was made."""
-        self._failures = 0
+    def record_success(self) -> None:
+        """Record a successful write."""
+        self._failure_count = 0
 
-    def fail(self) -> bool:
-        """Note that a write was refused.
+    def record_failure(self) -> bool:
+        """Record a failed write.
 
         Returns
         -------
         bool
             Whether a leader should step down.
         """
-        self._failures += 1
-        if self._failures < _FAILURES_BORNE:
+        self._failure_count += 1
+        if self._failure_count < _STEP_DOWN_FAILURE_COUNT:
             return False
-        self.pause()
+        self.pause_candidacy()
         return True
 
-    def pause(self) -> None:
-        """Stand for no election for a while."""
-        self._may_stand_s = self._now_s() + _PAUSE_S
+    def pause_candidacy(self) -> None:
+        """Prevent candidacy for `_CANDIDACY_PAUSE_S`."""
+        self._candidacy_allowed_s = self._now_s() + _CANDIDACY_PAUSE_S
 
     @property
-    def may_stand(self) -> bool:
-        """Whether the member may stand for election."""
-        return self._now_s() >= self._may_stand_s
+    def may_be_candidate(self) -> bool:
+        """Whether the member may become a candidate."""
+        return self._now_s() >= self._candidacy_allowed_s
--- a/src/agatethread/control/_followers.py
+++ b/src/agatethread/control/_followers.py
@@ -1,4 +1,4 @@
-"""What a leader knows of the other members, and who confirms that it leads."""
+"""Replication progress of the other members, and confirmations of leadership."""
 
 import asyncio
 from collections.abc import Callable, Iterator
@@ -7,30 +7,30 @@
 
 @dataclass
 class Follower:
-    """A leader's view of one other member."""
+    """Replication progress of one other member, as the leader knows it."""
 
-    #: The entry to send next, and the last one that it is known to hold.
+    #: Index of the entry to send next, and of the last entry known to be replicated.
     next_index: int
     match_index: int = 0
-    answered_s: float = 0.0
-    #: Number of the last round that it confirmed the leader in.
+    last_answer_s: float = 0.0
+    #: Number of the last round in which it confirmed the leader.
     confirmed_round: int = 0
     #: Set when there is something to send before the next heartbeat.
     wake: asyncio.Event = field(default_factory=asyncio.Event)
 
 
-class Confirmations:
-    """Rounds in which more than half of the voters confirm that a member leads.
+class LeadershipConfirmations:
+    """Rounds in which a majority of the voters confirms that a member leads.
 
     Parameters
     ----------
     has_majority : callable
-        Tells whether members, given by their names, decide together.
+        Returns whether the members with these names are a majority.
     """
 
     def __init__(self, has_majority: Callable[[list[str]], bool]):
         self._has_majority = has_majority
-        self._waiting: list[tuple[int, asyncio.Future[None]]] = []
+        self._pending: list[tuple[int, asyncio.Future[None]]] = []
         self.round = 0
 
     def start(self) -> asyncio.Future[None]:
@@ -39,44 +39,44 @@
         Returns
         -------
         asyncio.Future
-            Done when messages sent from now on have been answered by enough members.
+            Done when a majority has answered messages sent after this call.
         """
         self.round += 1
-        waiting = asyncio.get_running_loop().create_future()
-        self._waiting.append((self.round, waiting))
-        return waiting
+        confirmation = asyncio.get_running_loop().create_future()
+        self._pending.append((self.round, confirmation))
+        return confirmation
 
-    def settle(self, followers: dict[str, Follower]) -> None:
-        """End the rounds that enough members have confirmed.
+    def complete_confirmed(self, followers: dict[str, Follower]) -> None:
+        """Complete the rounds that a majority has confirmed.
 
         Parameters
         ----------
         followers : dict of str to Follower
-            The members by name.
+            The other members by name.
         """
-        still_waiting = []
-        for number, waiting in self._waiting:
-            agreeing = [
+        still_pending = []
+        for number, confirmation in self._pending:
+            confirmed_by = [
                 name
                 for name, follower in followers.items()
                 if follower.confirmed_round >= number
             ]
-            if waiting.done():
+            if confirmation.done():
                 continue
-            if self._has_majority(agreeing):
-                waiting.set_result(None)
+            if self._has_majority(confirmed_by):
+                confirmation.set_result(None)
             else:
-                still_waiting.append((number, waiting))
-        self._waiting = still_waiting
+                still_pending.append((number, confirmation))
+        self._pending = still_pending
 
-    def drain(self) -> Iterator[asyncio.Future[None]]:
-        """Give up all rounds.
+    def pop_all(self) -> Iterator[asyncio.Future[None]]:
+        """Remove all pending rounds.
 
         Yields
         ------
         asyncio.Future
-            What somebody waits for.
+            The future of each removed round.
         """
-        waiting_for, self._waiting = self._waiting, []
-        for _, waiting in waiting_for:
-            yield waiting
+        removed, self._pending = self._pending, []
+        for _, confirmation in removed:
+            yield confirmation
--- a/src/agatethread/control/_hints.py
+++ b/src/agatethread/control/_hints.py
@@ -1,4 +1,4 @@
-"""What a control instance's disk holds only so that a restart is quick."""
+"""Saves state to disk that only speeds up a restart of a control instance."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -14,29 +14,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Version:
-    runs: int = 0
+class _SavedState:
+    run_change_index: int = 0
     entries: tuple[KnownEntry, ...] = ()
-    commit: int = 0
+    commit_index: int = 0
 
 
-class HintKeeper:
-    """Saves what is known of others, and the commit index, after they have changed.
+class HintSaver:
+    """Saves backend servers, entry instances and the commit index when they change.
 
     Parameters
     ----------
     folder : str
         The data folder.
     runs : RunTable
-        The backend servers.
+        Runs of the backend servers.
     hub : RegistryHub
-        Knows the entry instances.
-    find_node : callable
-        Finds this member of the log; None while the log is not open.
+        Lists the entry instances.
+    get_node : callable
+        Returns this member of the log; None while the log is not open.
     spawn : callable
-        Runs a coroutine beside.
-    keeps_runs : bool, optional
-        Whether more than the commit index is saved.
+        Starts a coroutine as a task.
+    saves_runs : bool, optional
+        Whether backend servers and entry instances are saved too.
     """
 
     def __init__(
@@ -44,55 +44,61 @@
         folder: str,
         runs: RunTable,
         hub: RegistryHub,
-        find_node: Callable[[], RaftNode | None],
+        get_node: Callable[[], RaftNode | None],
         spawn: Callable[[Coroutine[Any, Any, None]], object],
-        keeps_runs: bool = True,
+        saves_runs: bool = True,
     ):
         self._folder = folder
         self._runs = runs
         self._hub = hub
-        self._find_node = find_node
+        self._get_node = get_node
         self._spawn = spawn
-        self._keeps_runs = keeps_runs
-        self._is_saving = False
-        self._writing: asyncio.Future[None] | None = None
-        #: Runs' changes, entry instances and commit index that the disk holds.
-        self._saved = _Version()
+        self._saves_runs = saves_runs
+        self._is_writing = False
+        self._pending_write: asyncio.Future[None] | None = None
+        #: What the disk holds.
+        self._saved = _SavedState()
 
     def save(self) -> None:
-        """Save what has changed, unless that is under way."""
-        node = self._find_node()
-        now = _Version(
+        """Start to save what has changed, unless a write is in progress."""
+        node = self._get_node()
+        current = _SavedState(
             self._runs.changed_index,
             self._hub.entries(),
             node.commit_index if node else 0,
         )
-        if not self._is_saving and now != self._saved:
-            self._is_saving = True
-            self._spawn(self._write(now, node))
+        if not self._is_writing and current != self._saved:
+            self._is_writing = True
+            self._spawn(self._write(current, node))
 
-    async def _write(self, now: _Version, node: RaftNode | None) -> None:
+    async def _write(self, current: _SavedState, node: RaftNode | None) -> None:
         runs = self._runs.snapshot()
         try:
-            # In threads: a slow disk must not hold up reports.
+            # In a thread: a slow disk must not delay reports.
             saved = self._saved
-            has_changed = (now.runs, now.entries) != (saved.runs, saved.entries)
-            if self._keeps_runs and has_changed:
-                await self._in_thread(save_hints, self._folder, runs, now.entries)
-            if node is not None and now.commit != saved.commit:
+            has_changed = (current.run_change_index, current.entries) != (
+                saved.run_change_index,
+                saved.entries,
+            )
+            if self._saves_runs and has_changed:
+                await self._in_thread(save_hints, self._folder, runs, current.entries)
+            if node is not None and current.commit_index != saved.commit_index:
                 await self._in_thread(node.sync_commit_index)
-            self._saved = now
+            self._saved = current
         except (OSError, DiskFullError) as error:
             log.warning(Event.HINTS_NOT_SAVED, error=str(error))
         finally:
-            self._is_saving = False
+            self._is_writing = False
 
     async def _in_thread(self, write: Callable[..., None], *arguments: object) -> None:
-        # A thread goes on when the task that waits for it is cancelled.
-        self._writing = asyncio.ensure_future(asyncio.to_thread(write, *arguments))
-        await asyncio.shield(self._writing)
+        # The thread continues if the waiting task is cancelled; `wait_for_write`
+        # awaits it.
+        self._pending_write = asyncio.ensure_future(
+            asyncio.to_thread(write, *arguments)
+        )
+        await asyncio.shield(self._pending_write)
 
-    async def finish(self) -> None:
-        """Wait for a write that is under way, so that the folder may be removed."""
-        if self._writing is not None:
-            await asyncio.wait([self._writing])
+    async def wait_for_write(self) -> None:
+        """Wait for a write in progress, so that the folder can be deleted."""
+        if self._pending_write is not None:
+            await asyncio.wait([self._pending_write])
--- a/src/agatethread/control/_identity.py
+++ b/src/agatethread/control/_identity.py
@@ -1,7 +1,7 @@
-"""Under which name a disk takes part in the log.
+"""The member name that a disk has in the log.
 
-The name belongs to the disk and not to the address: an instance that comes back to its
-address with an empty disk has forgotten its votes and entries, and is a new member.
+The name belongs to the disk, not to the address: an instance that restarts at its
+address with an empty disk has lost its votes and entries, and is a new member.
 """
 
 import secrets
@@ -25,33 +25,33 @@
     is_first_start: bool,
     founders: Sequence[ControlMember],
 ) -> str:
-    """Read the name of a disk, or give it one.
+    """Return the member name of a disk; create and store one if it has none.
 
     Parameters
     ----------
     storage : LogStorage
-        The disk.
+        Files of the log.
     target : str
-        Address of this instance.
+        Address of this instance's log, ``IP:port``.
     is_first_start : bool
-        Whether the whole system starts for the first time, so that an empty disk has
-        never held anything.
+        Whether the whole system starts for the first time, so that an empty disk
+        was empty before.
     founders : sequence of ControlMember
-        The first members; each is named by its address.
+        The first members; each has its address as name.
 
     Returns
     -------
     str
-        The name.
+        The member name.
 
     Raises
     ------
     DiskFullError
         If it could not be written.
     """
-    known = storage.read_hard_state()
-    if known.member_name:
-        return known.member_name
+    hard_state = storage.read_hard_state()
+    if hard_state.member_name:
+        return hard_state.member_name
 
     if not is_first_start or storage.was_set_aside:
         name = f"{target}#{secrets.token_hex(4)}"
@@ -59,8 +59,8 @@
         log.warning(Event.EMPTY_DISK, name=name)
         return name
 
-    # The members before the name: if only they are written, the next start takes the
-    # disk for an empty one, and the instance joins instead of voting.
+    # Members before the name: after a crash between the two writes the disk counts as
+    # empty at the next start, and the instance joins instead of voting.
     members = Members(members=founders)
     storage.save_snapshot(ControlState(members=members), [])
     storage.save_hard_state(HardState(member_name=target, may_vote=True))
--- a/src/agatethread/control/_instance.py
+++ b/src/agatethread/control/_instance.py
@@ -1,4 +1,4 @@
-"""A control instance: its log, its watchers and the operators' calls."""
+"""A control instance: member of the log, watch streams and the operators' calls."""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -11,7 +11,7 @@
 from agatethread.control._replication import ReplicationServicer
 from agatethread.control._state import check_command
 from agatethread.control._storage import LogStorage
-from agatethread.control._watchers import WatchHub
+from agatethread.control._watchers import WatchServer
 from agatethread.exceptions import DiskFullError, NotLeaderError
 from agatethread.observability import Counters
 from agatethread.settings import Settings
@@ -29,10 +29,10 @@
     WatchUpdate,
 )
 
-_MOST_ROWS = 500
+_MAX_DUMP_ROWS = 500
 
 
-class _Control(control_pb2_grpc.ControlServicer):
+class _ControlServicer(control_pb2_grpc.ControlServicer):
     def __init__(self, instance: "ControlInstance"):
         self._instance = instance
 
@@ -42,7 +42,7 @@
         try:
             return await self._instance.apply(request.command)
         except NotLeaderError as error:
-            target = self._instance.address_of(error.leader)
+            target = self._instance.get_member_address(error.leader)
             await context.abort(grpc.StatusCode.FAILED_PRECONDITION, target)
         except DiskFullError as error:
             return Outcome(accepted=False, error=f"disk: {error}")
@@ -65,17 +65,19 @@
         request_iterator: AsyncIterator[WatchRequest],
         context: grpc.aio.ServicerContext,
     ) -> AsyncIterator[WatchUpdate]:
-        async for update in self._instance.hub.serve(request_iterator, context):
+        async for update in self._instance.watch_server.serve(
+            request_iterator, context
+        ):
             yield update
 
 
 class ControlInstance(Service):
-    """Keeps the documents, agreed among the control instances and synced.
+    """Stores the service documents, replicated among the control instances.
 
     Parameters
     ----------
     settings : Settings
-        With the settings of the control role.
+        Settings with the section of the control role.
     counters : Counters
         The process's counters.
     """
@@ -95,8 +97,8 @@
             RaftNode(settings.name, control, storage, peers, TimerService.now_s)
         )
         self._storage = storage
-        self.hub = WatchHub(self.node.documents)
-        self.node.subscribe(self.hub.wake)
+        self.watch_server = WatchServer(self.node.documents)
+        self.node.subscribe(self.watch_server.wake)
 
     def register(self, server: grpc.aio.Server) -> None:
         """Add this role's services to the process's server.
@@ -106,12 +108,12 @@
         server : grpc.aio.Server
             The server.
         """
-        replication, control = ReplicationServicer(self.node), _Control(self)
+        replication, control = ReplicationServicer(self.node), _ControlServicer(self)
         control_pb2_grpc.add_ReplicationServicer_to_server(replication, server)
         control_pb2_grpc.add_ControlServicer_to_server(control, server)
 
     async def apply(self, data: bytes) -> Outcome:
-        """Check a change and have it agreed.
+        """Check a change and replicate it.
 
         Parameters
         ----------
@@ -121,43 +123,43 @@
         Returns
         -------
         Outcome
-            Accepted, or why not.
+            Whether it was accepted; the error if not.
 
         Raises
         ------
         NotLeaderError, DiskFullError
-            As `RaftNode.propose`.
+            As raised by `RaftNode.propose`.
         """
         command = Command.FromString(data)
-        fault = check_command(command)
-        if fault:
-            return Outcome(accepted=False, error=fault)
+        error = check_command(command)
+        if error:
+            return Outcome(accepted=False, error=error)
         outcome = await self.node.propose(command.SerializeToString())
         self._counters["change_accepted" if outcome.accepted else "change_refused"] += 1
         return outcome
 
-    def address_of(self, member: str) -> str:
-        """Find a control instance's address.
+    def get_member_address(self, member: str) -> str:
+        """Return the address of a control instance.
 
         Parameters
         ----------
         member : str
-            Its name.
+            Name of the control instance.
 
         Returns
         -------
         str
-            ``IP:port``, or an empty string.
+            ``IP:port``, or an empty string if the name is not known.
         """
         return self.settings.control.members.get(member, "")
 
     def status(self) -> StatusReply:
-        """Tell what this instance knows.
+        """Return the status of this instance.
 
         Returns
         -------
         StatusReply
-            Its place in the log and its watchers.
+            State of the log, watchers and services.
         """
         node = self.node
         return StatusReply(
@@ -167,7 +169,7 @@
             leader=node.leader,
             commit_index=node.commit_index,
             last_change_index=node.documents.change_index,
-            watchers=self.hub.statuses(),
+            watchers=self.watch_server.statuses(),
             drained=sorted(node.documents.drained),
             evacuated=node.documents.evacuations.failure_domains,
             services=sorted(node.documents.documents),
@@ -175,12 +177,12 @@
         )
 
     def dump(self) -> dict[str, Any]:
-        """Give the instance's whole state, bounded in size.
+        """Return the instance's state, with bounded lists.
 
         Returns
         -------
         dict
-            Ready for JSON.
+            Values that JSON can hold.
         """
         node = self.node
         documents = list(node.documents.documents.values())
@@ -193,9 +195,9 @@
             "log_bytes": self._storage.size_bytes,
             "documents_total": len(documents),
             "documents": {
-                record.service: record.version for record in documents[:_MOST_ROWS]
+                record.service: record.version for record in documents[:_MAX_DUMP_ROWS]
             },
-            "drained": sorted(node.documents.drained)[:_MOST_ROWS],
+            "drained": sorted(node.documents.drained)[:_MAX_DUMP_ROWS],
             "evacuated": list(node.documents.evacuations.failure_domains),
             "watchers": [
                 {
@@ -203,6 +205,6 @@
                     "applied_index": watcher.applied_index,
                     "connected": watcher.connected,
                 }
-                for watcher in self.hub.statuses()[:_MOST_ROWS]
+                for watcher in self.watch_server.statuses()[:_MAX_DUMP_ROWS]
             ],
         }
--- a/src/agatethread/control/_log.py
+++ b/src/agatethread/control/_log.py
@@ -1,12 +1,12 @@
-"""The entries of a replicated log after its snapshot, in memory as on the disk."""
+"""The snapshot and later entries of a replicated log, in memory and on disk."""
 
 from agatethread.control._storage import LogStorage
 from agatethread.wire.control_pb2 import ControlState, LogEntry, Members
 
-#: Entries and bytes in one message: it has to arrive within the time of a call over
-#: the slowest link between control instances (256 kB of 170 Mbit/s are 12 ms).
-_MOST_ENTRIES_IN_APPEND = 256
-_MOST_BYTES_IN_APPEND = 256 << 10
+#: Limits of one message: it must arrive within the timeout of a call over the slowest
+#: link between control instances (170 Mbit/s).
+_MAX_APPEND_ENTRIES = 256
+_MAX_APPEND_BYTES = 256 << 10
 
 
 class ReplicatedLog:
@@ -15,11 +15,11 @@
     Parameters
     ----------
     storage : LogStorage
-        Where both are kept; written before memory is changed.
+        Files of both; written before memory is changed.
     snapshot : ControlState
-        As recovered.
+        The recovered snapshot.
     entries : list of LogEntry
-        As recovered.
+        The recovered entries after it.
     """
 
     def __init__(
@@ -40,88 +40,92 @@
         return self.base_index + len(self._entries)
 
     def term_at(self, index: int) -> int:
-        """Look up an entry's term.
+        """Return an entry's term.
 
         Parameters
         ----------
         index : int
-            From the snapshot's last entry to the last one.
+            Index of the entry, at least `base_index`.
 
         Returns
         -------
         int
-            Its term.
+            The term.
         """
         if index == self.base_index:
             return self.snapshot.last_term
         return self._entries[index - self.base_index - 1].term
 
     def batch_from(self, index: int) -> list[LogEntry]:
-        """List the entries that one message carries.
+        """Return the entries of one message.
 
         Parameters
         ----------
         index : int
-            The first one's index.
+            Index of the first entry.
 
         Returns
         -------
         list of LogEntry
-            In order; at least one if there is one.
+            In order; at least one if the log has an entry at `index`.
         """
         start = index - self.base_index - 1
         batch: list[LogEntry] = []
         size = 0
-        for entry in self._entries[start : start + _MOST_ENTRIES_IN_APPEND]:
+        for entry in self._entries[start : start + _MAX_APPEND_ENTRIES]:
             size += entry.ByteSize()
-            if batch and size > _MOST_BYTES_IN_APPEND:
+            if batch and size > _MAX_APPEND_BYTES:
                 break
             batch.append(entry)
         return batch
 
-    def between(self, after: int, through: int) -> list[LogEntry]:
-        """List entries by index.
+    def entries_between(self, after_index: int, through_index: int) -> list[LogEntry]:
+        """Return the entries within a range of indexes.
 
         Parameters
         ----------
-        after, through : int
-            The index before the first, and the last one's.
+        after_index, through_index : int
+            Index before the first entry, and index of the last one.
 
         Returns
         -------
         list of LogEntry
             In order.
         """
-        return self._entries[after - self.base_index : through - self.base_index]
+        return self._entries[
+            after_index - self.base_index : through_index - self.base_index
+        ]
 
     def latest_members(self) -> Members | None:
-        """Find the newest members among the entries after the snapshot.
+        """Return the newest members that an entry after the snapshot sets.
 
         Returns
         -------
         Members or None
-            None if no entry changes them.
+            None if no entry sets them.
         """
-        return next((e.members for e in reversed(self._entries) if _sets(e)), None)
+        return next(
+            (e.members for e in reversed(self._entries) if _sets_members(e)), None
+        )
 
     def latest_members_index(self) -> int:
-        """Find the entry that `latest_members` is from.
+        """Return the index of the entry that `latest_members` returns members of.
 
         Returns
         -------
         int
-            Its index, or that of the snapshot.
+            Index of the entry, or `base_index` if there is none.
         """
-        changes = (e.index for e in reversed(self._entries) if _sets(e))
+        changes = (e.index for e in reversed(self._entries) if _sets_members(e))
         return next(changes, self.base_index)
 
     def append(self, entries: list[LogEntry]) -> None:
-        """Add entries, synced.
+        """Append entries and sync them.
 
         Parameters
         ----------
         entries : list of LogEntry
-            What follows the last one.
+            The entries that follow the last one.
 
         Raises
         ------
@@ -132,41 +136,41 @@
         self._entries.extend(entries)
 
     def truncate(self, last_index: int) -> None:
-        """Drop the entries after one.
+        """Delete the entries after an index.
 
         Parameters
         ----------
         last_index : int
-            The last one to keep.
+            Index of the last entry that stays.
         """
-        keep_count = last_index - self.base_index
-        self._storage.truncate(keep_count)
-        del self._entries[keep_count:]
+        remaining_count = last_index - self.base_index
+        self._storage.truncate(remaining_count)
+        del self._entries[remaining_count:]
 
-    def _holds(self, index: int, term: int) -> bool:
-        is_here = self.base_index <= index <= self.last_index
-        return is_here and self.term_at(index) == term
+    def _contains(self, index: int, term: int) -> bool:
+        is_in_range = self.base_index <= index <= self.last_index
+        return is_in_range and self.term_at(index) == term
 
     def compact(self, snapshot: ControlState) -> None:
-        """Let a snapshot take the place of the entries that it holds.
+        """Replace the entries that a snapshot covers by the snapshot.
 
         Parameters
         ----------
         snapshot : ControlState
-            A newer one; one beyond the last entry takes the place of all.
+            A newer snapshot; one beyond the last entry replaces all entries.
 
         Raises
         ------
         DiskFullError
             If it could not be written; nothing has changed.
         """
-        kept: list[LogEntry] = []
-        if self._holds(snapshot.last_index, snapshot.last_term):
-            kept = self.between(snapshot.last_index, self.last_index)
-        self._storage.save_snapshot(snapshot, kept)
-        self._entries = kept
+        remaining: list[LogEntry] = []
+        if self._contains(snapshot.last_index, snapshot.last_term):
+            remaining = self.entries_between(snapshot.last_index, self.last_index)
+        self._storage.save_snapshot(snapshot, remaining)
+        self._entries = remaining
         self.snapshot = snapshot
 
 
-def _sets(entry: LogEntry) -> bool:
+def _sets_members(entry: LogEntry) -> bool:
     return entry.HasField("members")
--- a/src/agatethread/control/_log_opening.py
+++ b/src/agatethread/control/_log_opening.py
@@ -1,4 +1,4 @@
-"""Opens the log on the disk as soon as the disk allows."""
+"""Opens the log on disk, with retries."""
 
 from collections.abc import Awaitable, Callable
 
@@ -9,8 +9,8 @@
 from agatethread.exceptions import DiskFullError, LogCorruptError
 from agatethread.observability import Event, make_logger
 
-#: Pause between two tries: a disk that is full or stalled may recover at any time.
-_REOPEN_S = 0.5
+#: A full or stalled disk may recover at any time.
+_RETRY_INTERVAL_S = 0.5
 
 log = make_logger("control")
 
@@ -21,18 +21,18 @@
     should_stop: Callable[[], bool],
     sleep: Callable[[float], Awaitable[None]],
 ) -> RaftNode | None:
-    """Open the log of a control instance, and try again until that succeeds.
+    """Open the log of a control instance; retry until it succeeds.
 
     Parameters
     ----------
     settings : RoutingControlSettings
-        Of the instance.
+        Settings of the control instance.
     make_node : callable
-        Makes the member of the log from its name and its storage.
+        Returns the member of the log for a name and a storage.
     should_stop : callable
-        Tells whether the instance stops.
+        Returns whether the instance is stopping.
     sleep : callable
-        Waits for some seconds, or until the instance stops.
+        Waits for a number of seconds, or until the instance stops.
 
     Returns
     -------
@@ -55,21 +55,21 @@
             if not should_stop():
                 return node
         storage.close()
-        await sleep(_REOPEN_S)
+        await sleep(_RETRY_INTERVAL_S)
     return None
 
 
 def _set_aside(storage: LogStorage) -> None:
-    # A member that forgot a part of its log must not vote under its name again: the
-    # instance joins as a new member, like one with an empty disk.
+    # A member that lost a part of its log must not vote under its name again: the
+    # instance joins as a new member, as with an empty disk.
     try:
         storage.set_aside()
     except DiskFullError as error:
         log.error(Event.LOG_NOT_SET_ASIDE, error=str(error))
 
 
-def note_opened(node: RaftNode) -> None:
-    """Log that a member of the log takes part.
+def log_opened(node: RaftNode) -> None:
+    """Write the log line of an opened log.
 
     Parameters
     ----------
--- a/src/agatethread/control/_log_port.py
+++ b/src/agatethread/control/_log_port.py
@@ -1,8 +1,7 @@
-"""Where other control instances reach this one's log, and how it reaches theirs.
+"""gRPC server and client calls of the log.
 
-Apart from the rest since it loads gRPC: after a loss of all, what the disk holds is
-served before that. The two steps were 0.07 s apart on a control instance of the users'
-bench.
+A module of its own because it loads gRPC: after a restart of all control instances,
+the routing table on disk is served before this module is loaded.
 """
 
 from collections.abc import Callable
@@ -17,14 +16,13 @@
 from agatethread.wire import control_pb2_grpc
 from agatethread.wire.control_pb2 import ControlMember
 
-#: Time for a call between control instances: some heartbeats' worth, and enough for a
-#: snapshot over a slow disk.
+#: Several heartbeat intervals; enough to install a snapshot on a slow disk.
 _CALL_TIMEOUT_S = 0.6
 _STOP_GRACE_S = 0.2
 
 
 class LogPort:
-    """Serves and makes the calls of the log.
+    """Serves the calls of the log and connects to other control instances.
 
     Parameters
     ----------
@@ -39,16 +37,16 @@
     async def serve(
         self, node: RaftNode, on_join: Callable[[ControlMember], bool], address: str
     ) -> None:
-        """Listen.
+        """Start the server.
 
         Parameters
         ----------
         node : RaftNode
-            The member that answers.
+            The member that handles the calls.
         on_join : callable
-            Called with each instance that wants to take part.
+            Called with each instance that asks to join; returns whether it is accepted.
         address : str
-            ``IP:port``.
+            ``IP:port`` to listen at.
         """
         self._server = grpc.aio.server(options=(("grpc.so_reuseport", 0),))
         servicer = ReplicationServicer(node, on_join)
@@ -57,12 +55,12 @@
         await self._server.start()
 
     def connect(self, target: str) -> PeerCalls:
-        """Make the calls to another control instance.
+        """Return the calls to another control instance.
 
         Parameters
         ----------
         target : str
-            ``IP:port``.
+            ``IP:port`` of its log.
 
         Returns
         -------
@@ -72,6 +70,6 @@
         return connect_peer(self._credentials, target, _CALL_TIMEOUT_S)
 
     async def close(self) -> None:
-        """Stop listening."""
+        """Stop the server."""
         if self._server is not None:
             await self._server.stop(_STOP_GRACE_S)
--- a/src/agatethread/control/_raft.py
+++ b/src/agatethread/control/_raft.py
@@ -11,7 +11,7 @@
 
 from agatethread.control._ballot import Ballot, LogEnd
 from agatethread.control._disk_health import DiskHealth
-from agatethread.control._followers import Confirmations, Follower
+from agatethread.control._followers import Follower, LeadershipConfirmations
 from agatethread.control._log import ReplicatedLog
 from agatethread.control._members import (
     find_member,
@@ -102,10 +102,10 @@
         self._timeout_s = self._draw_timeout_s() * _FIRST_TIMEOUT_RATIO
         self._followers: dict[str, Follower] = {}
         self._listeners: list[Callable[[], None]] = []
-        self._confirmations = Confirmations(
+        self._confirmations = LeadershipConfirmations(
             lambda names: has_majority(self.members, [self.name, *names])
         )
-        self._disk = DiskHealth(now_s)
+        self._disk_health = DiskHealth(now_s)
         self._proposals = Proposals()
         self._commit_to(min(self._recovered_commit_index, self.last_index))
 
@@ -162,7 +162,7 @@
         list of LogEntry
             In order.
         """
-        return self._log.between(self._log.base_index, self.commit_index)
+        return self._log.entries_between(self._log.base_index, self.commit_index)
 
     @property
     def term(self) -> int:
@@ -205,20 +205,20 @@
                 continue
             if self._now_s() - self._waiting_since_s < self._timeout_s:
                 continue
-            if not self.is_voter or not self._disk.may_stand:
+            if not self.is_voter or not self._disk_health.may_be_candidate:
                 continue
             try:
                 await self._stand()
             except DiskFullError as error:
                 log.error(Event.CANT_STAND, error=str(error))
-                self._disk.pause()
+                self._disk_health.pause_candidacy()
 
     def _check_quorum(self) -> None:
         oldest_s = self._now_s() - 2 * self._settings.election_timeout_s
         reached = [
             name
             for name, follower in self._followers.items()
-            if follower.answered_s > oldest_s
+            if follower.last_answer_s > oldest_s
         ]
         if not has_majority(self.members, [self.name, *reached]):
             log.warning(Event.QUORUM_LOST, term=self.term)
@@ -235,7 +235,7 @@
 
         self.role = Role.CANDIDATE
         self.leader = ""
-        self._ballot.stand(self.name)
+        self._ballot.start_candidacy(self.name)
         term = self.term
         won = await self._collect_votes(term, pre_vote=False)
         is_current = self.role is Role.CANDIDATE and self.term == term
@@ -281,7 +281,7 @@
 
     def _adopt_term(self, term: int) -> None:
         if term > self.term:
-            self._ballot.adopt(term)
+            self._ballot.adopt_term(term)
             self._become_follower("")
 
     def _become_follower(self, leader: str) -> None:
@@ -295,8 +295,8 @@
         log.info(Event.LEADER, term=self.term, last_index=self.last_index)
         self.role = Role.LEADER
         self.leader = self.name
-        self._disk.succeed()
-        self._ballot.allow()
+        self._disk_health.record_success()
+        self._ballot.enable_voting()
         self._followers.clear()
         # An entry of its own term lets it commit those of earlier terms.
         self._log.append([LogEntry(index=self.last_index + 1, term=self.term)])
@@ -308,7 +308,7 @@
         others = self._others()
         for name in others:
             if name not in self._followers:
-                follower = Follower(self.last_index + 1, answered_s=self._now_s())
+                follower = Follower(self.last_index + 1, last_answer_s=self._now_s())
                 self._followers[name] = follower
                 self.add_future(self._replicate(name, follower, self.term))
         for name in [one for one in self._followers if one not in others]:
@@ -332,7 +332,7 @@
 
         if request.term > self.term:
             self._adopt_term(request.term)
-        granted = self._ballot.vote(request, self._log_end)
+        granted = self._ballot.grant_vote(request, self._log_end)
         if granted:
             self._waiting_since_s = self._now_s()
         return VoteReply(term=self.term, granted=granted)
@@ -390,9 +390,9 @@
             self._adopt_term(reply.term)
             return False
 
-        follower.answered_s = self._now_s()
+        follower.last_answer_s = self._now_s()
         follower.confirmed_round = number
-        self._confirmations.settle(self._followers)
+        self._confirmations.complete_confirmed(self._followers)
         if not reply.success:
             earlier = min(follower.next_index - 1, reply.match_index + 1)
             follower.next_index = max(1, earlier)
@@ -471,7 +471,7 @@
 
         self._write_new(list(request.entries))
         match = request.previous_index + len(request.entries)
-        self._ballot.allow()
+        self._ballot.enable_voting()
         self._commit_to(min(request.commit_index, match))
         return AppendReply(term=self.term, success=True, match_index=match)
 
@@ -515,7 +515,7 @@
             self.commit_index = snapshot.last_index
             self._refresh_members()
             self._tell_listeners()
-        self._ballot.allow()
+        self._ballot.enable_voting()
         match = max(request.last_index, self.commit_index)
         return AppendReply(term=self.term, success=True, match_index=match)
 
@@ -524,7 +524,7 @@
     def _commit_to(self, index: int) -> None:
         if index <= self.commit_index:
             return
-        for entry in self._log.between(self.commit_index, index):
+        for entry in self._log.entries_between(self.commit_index, index):
             outcome = self.documents.apply(entry.index, entry.term, entry.command)
             if entry.HasField("members"):
                 self.documents.members.CopyFrom(entry.members)
@@ -542,7 +542,7 @@
 
     def _fail_waiting(self) -> None:
         self._proposals.fail(self.leader)
-        for waiting in self._confirmations.drain():
+        for waiting in self._confirmations.pop_all():
             if not waiting.done():
                 waiting.set_exception(NotLeaderError(self.leader))
 
@@ -633,7 +633,7 @@
         except DiskFullError:
             self._note_write_failure()
             raise
-        self._disk.succeed()
+        self._disk_health.record_success()
         if entry.HasField("members"):
             self._refresh_members()
             self._follow_members()
@@ -643,7 +643,7 @@
         return await waiting
 
     def _note_write_failure(self) -> None:
-        if self._disk.fail():
+        if self._disk_health.record_failure():
             log.error(Event.LEADER_CANT_WRITE, term=self.term)
             self._become_follower("")
 
@@ -675,7 +675,7 @@
             raise NotLeaderError(self.leader)
         waiting = self._confirmations.start()
         self._wake_all()
-        self._confirmations.settle(self._followers)
+        self._confirmations.complete_confirmed(self._followers)
         try:
             await asyncio.wait_for(waiting, limit_s)
         except TimeoutError:
@@ -707,7 +707,7 @@
             Seconds.
         """
         follower = self._followers.get(name)
-        return self._now_s() - follower.answered_s if follower else 0.0
+        return self._now_s() - follower.last_answer_s if follower else 0.0
 
     def lag_count(self, name: str) -> int:
         """Tell how many entries a member lacks, as far as this leader knows.
--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -14,8 +14,8 @@
 
 from mode import Service
 
-from agatethread.control._hints import HintKeeper
-from agatethread.control._log_opening import note_opened, open_log
+from agatethread.control._hints import HintSaver
+from agatethread.control._log_opening import log_opened, open_log
 from agatethread.control._member_keeper import MemberKeeper
 from agatethread.control._orders import OperatorOrders
 from agatethread.control._raft import RaftNode
@@ -87,7 +87,7 @@
         self.node: RaftNode | None = None
         self._log_port: LogPort | None = None
         self._keeper: MemberKeeper | None = None
-        self._hints: HintKeeper | None = None
+        self._hints: HintSaver | None = None
         self._offered_version = 0
         self._started_s = self.timers.now_s()
         self._registry_port = parse_address(settings.registry)[1]
@@ -188,7 +188,7 @@
             self.timers.subscribe(_DISPATCHERS_INTERVAL_S, self._dispatchers.refresh)
         if self.quality:
             self.timers.subscribe(_QUALITY_INTERVAL_S, self.quality.tick)
-        self._hints = HintKeeper(
+        self._hints = HintSaver(
             self.settings.data_dir,
             self.runs,
             self.hub,
@@ -221,7 +221,7 @@
         await port.serve(node, self._keeper.on_join, target)
         self.node = node
         await self.add_runtime_dependency(node)
-        note_opened(node)
+        log_opened(node)
 
     def _make_node(self, name: str, storage: LogStorage) -> RaftNode:
         return RaftNode(
@@ -265,7 +265,7 @@
         if self._log_port is not None:
             await self._log_port.close()
         if self._hints is not None:
-            await self._hints.finish()
+            await self._hints.wait_for_write()
         self._transport.close()
 
     # -- the routing table --------------------------------------------------------
--- a/src/agatethread/control/_watchers.py
+++ b/src/agatethread/control/_watchers.py
@@ -17,7 +17,7 @@
 _HEARTBEAT_S = 1.0
 
 
-class WatchHub:
+class WatchServer:
     """Entry instances that watch this control instance.
 
     Parameters
--- a/tests/control/test_raft.py
+++ b/tests/control/test_raft.py
@@ -289,7 +289,7 @@
             "would_vote",
             lambda _, request, end: (request.last_term, request.last_index) >= end,
         )
-        majority = mock.patch.object(Ballot, "allow", lambda *_: None)
+        majority = mock.patch.object(Ballot, "enable_voting", lambda *_: None)
         recovered = mock.patch.object(
             RaftNode, "_votes_needed", property(lambda node: node._majority)
         )
--- a/tests/control/test_storage.py
+++ b/tests/control/test_storage.py
@@ -63,18 +63,18 @@
 
 
 class TestBatches(StorageCase):
-    def test_message_is_bounded_by_bytes(self):
-        """A member far behind gets large entries a few at a time, and gets them all."""
+    def test_limits_batch_by_bytes(self):
+        """Batches of large entries stay below the byte limit and leave none out."""
         storage, _ = self.open()
         large = [LogEntry(index=n, term=1, command=b"c" * 90_000) for n in range(1, 9)]
         log = ReplicatedLog(storage, ControlState(), large)
-        next_index, got = 1, []
+        next_index, sent = 1, []
         while next_index <= 8:
             batch = log.batch_from(next_index)
-            self.assertLessEqual(sum(one.ByteSize() for one in batch), 256 << 10)
-            got += batch
+            self.assertLessEqual(sum(entry.ByteSize() for entry in batch), 256 << 10)
+            sent += batch
             next_index += len(batch)
-        self.assertEqual(got, large)
+        self.assertEqual(sent, large)
 
 
 class TestRecover(StorageCase):
--- a/tests/control/test_watchers.py
+++ b/tests/control/test_watchers.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 
 from agatethread.control import DocumentState
-from agatethread.control._watchers import WatchHub
+from agatethread.control._watchers import WatchServer
 from agatethread.entry._documents import DocumentBook
 from agatethread.wire.control_pb2 import Command, PutDocument, WatchRequest
 from benchmarks.virtual_time import VirtualLoop
@@ -20,9 +20,9 @@
 
     def __init__(self):
         self.state = DocumentState()
-        self.hub = WatchHub(self.state)
+        self.watch_server = WatchServer(self.state)
         self.book = DocumentBook()
-        self.stream = self.hub.serve(self.requests(), None)
+        self.stream = self.watch_server.serve(self.requests(), None)
 
     async def requests(self):
         yield WatchRequest(instance="entry-1")
@@ -36,7 +36,7 @@
         index = self.state.last_index + 1
         command = Command(put_document=put, change_id=f"change {index}")
         self.state.apply(index, 1, command.SerializeToString())
-        self.hub.wake()
+        self.watch_server.wake()
 
     async def read(self):
         self.book.take(await anext(self.stream))
