--- a/src/agatethread/control/_member_changes.py
+++ b/src/agatethread/control/_member_changes.py
@@ -1,9 +1,8 @@
-"""Which change of the members comes next: a decision without a network.
+"""Computes the next membership change of the log, without network access.
 
-Options weighed: joint consensus (Ongaro and Ousterhout 2014, section 6) and one change
-at a time (Ongaro's dissertation, section 4.1). One at a time is enough here: at most a
-few members change, and each step is committed within milliseconds. Its known weakness,
-an even number of voters in between, lasts as long as one step.
+Membership changes by one voter at a time (Ongaro's dissertation, section 4.1). Joint
+consensus (Ongaro and Ousterhout 2014, section 6) is not needed, since few members
+change and each step commits quickly. An even number of voters lasts for one step only.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -11,129 +10,137 @@
 
 from agatethread.wire.control_pb2 import ControlMember, Members
 
-#: A voter that has been silent for so long is replaced, if another stands ready. Below
-#: the 4 s after which a further loss has to be borne, above a restart.
-REPLACE_AFTER_S = 3.0
-#: A learner that has been silent for so long is dropped; it joins again by itself.
-FORGET_AFTER_S = 20.0
-#: Entries that a learner may lack and still be called caught up.
-_CAUGHT_UP_LAG = 2
-#: Time since its last answer within which a learner counts as present.
-_PRESENT_S = 0.5
+#: A voter that is silent for longer is replaced if a learner is ready. Longer than a
+#: restart; shorter than the 4 s after which a further loss must be tolerated.
+VOTER_TIMEOUT_S = 3.0
+#: A learner that is silent for longer is removed; it can join again.
+LEARNER_TIMEOUT_S = 20.0
+#: Entries that a learner may lack and still count as caught up.
+_CAUGHT_UP_LAG_COUNT = 2
+#: A learner that has not answered for longer does not count as caught up.
+_CAUGHT_UP_SILENCE_S = 0.5
 
 
 @dataclass(frozen=True, slots=True)
-class Progress:
-    """What the leader knows of one member."""
+class MemberProgress:
+    """Replication progress of one member, as the leader knows it."""
 
     silent_s: float
     lag_count: int
 
     @property
     def is_caught_up(self) -> bool:
-        """Whether it could vote at once."""
-        return self.silent_s < _PRESENT_S and self.lag_count <= _CAUGHT_UP_LAG
+        """Whether the member can become a voter."""
+        return (
+            self.silent_s < _CAUGHT_UP_SILENCE_S
+            and self.lag_count <= _CAUGHT_UP_LAG_COUNT
+        )
 
 
-def next_members(
+def compute_next_members(
     members: Members,
     leader: str,
     joiners: Iterable[ControlMember],
-    progress: Mapping[str, Progress],
+    progress: Mapping[str, MemberProgress],
     voter_target: int,
 ) -> Members | None:
-    """Find the next change of the members, one voter at a time.
+    """Return the members after the next change, which is of one voter at most.
 
     Parameters
     ----------
     members : Members
-        The present ones.
+        The current members.
     leader : str
-        Name of the one that asks.
+        Name of the leader, which calls this.
     joiners : iterable of ControlMember
-        Instances that want to take part.
-    progress : mapping of str to Progress
-        Of every member but the leader.
+        Instances that have asked to join.
+    progress : mapping of str to MemberProgress
+        Progress of every member but the leader.
     voter_target : int
-        Voters that are needed to bear the losses to be borne.
+        Number of voters that the losses to be tolerated require.
 
     Returns
     -------
     Members or None
-        None if nothing is to be changed.
+        None if no change is due.
     """
     ready = [
         member
         for member in members.members
-        if not member.voter and _of(progress, member.name).is_caught_up
+        if not member.voter and _progress_of(progress, member.name).is_caught_up
     ]
     voters = [member for member in members.members if member.voter]
     silent = [
         voter
         for voter in voters
-        if voter.name != leader and _of(progress, voter.name).silent_s > REPLACE_AFTER_S
+        if voter.name != leader
+        and _progress_of(progress, voter.name).silent_s > VOTER_TIMEOUT_S
     ]
     target = _feasible_target(voter_target, len(voters) + len(ready))
 
     return (
         _add_learner(members, joiners)
-        or _swap_lost_disk(members, voters, ready)
-        or _drop_surplus(members, voters, silent, target, leader)
-        or _promote(members, voters, silent, ready, target)
-        or _forget_learner(members, progress)
+        or _replace_lost_disk(members, voters, ready)
+        or _remove_surplus_voter(members, voters, silent, target, leader)
+        or _promote_learner(members, voters, silent, ready, target)
+        or _remove_silent_learner(members, progress)
     )
 
 
-def _of(progress: Mapping[str, Progress], name: str) -> Progress:
-    return progress.get(name, Progress(silent_s=0.0, lag_count=1 << 30))
+def _progress_of(progress: Mapping[str, MemberProgress], name: str) -> MemberProgress:
+    return progress.get(name, MemberProgress(silent_s=0.0, lag_count=1 << 30))
 
 
-def _feasible_target(wanted: int, available: int) -> int:
-    # An even number of voters bears no more losses than the odd one below it.
-    return min(wanted, available if available % 2 else available - 1)
+def _feasible_target(voter_target: int, available_count: int) -> int:
+    # An even number of voters tolerates no more losses than the odd one below it.
+    return min(
+        voter_target,
+        available_count if available_count % 2 else available_count - 1,
+    )
 
 
-def _changed(
-    members: Members, keep: Callable[[ControlMember], bool], *added: ControlMember
+def _replace_members(
+    members: Members, is_kept: Callable[[ControlMember], bool], *added: ControlMember
 ) -> Members:
-    kept = [member for member in members.members if keep(member)]
+    kept = [member for member in members.members if is_kept(member)]
     return Members(members=[*kept, *added])
 
 
 def _with_role(member: ControlMember, voter: bool) -> ControlMember:
-    changed = ControlMember()
-    changed.CopyFrom(member)
-    changed.voter = voter
-    return changed
+    copy = ControlMember()
+    copy.CopyFrom(member)
+    copy.voter = voter
+    return copy
 
 
 def _add_learner(members: Members, joiners: Iterable[ControlMember]) -> Members | None:
-    known = {member.name for member in members.members}
+    member_names = {member.name for member in members.members}
     for joiner in joiners:
-        if joiner.name not in known:
-            return _changed(members, lambda _: True, _with_role(joiner, False))
+        if joiner.name not in member_names:
+            return _replace_members(members, lambda _: True, _with_role(joiner, False))
     return None
 
 
-def _swap_lost_disk(
+def _replace_lost_disk(
     members: Members, voters: list[ControlMember], ready: list[ControlMember]
 ) -> Members | None:
-    # The voter's address answers under another name, so its disk is gone: it can't
-    # vote any more, every majority of the old voters holds one of the others, and
-    # so does every majority of the new ones. That makes one step of two safe.
+    # A learner has the voter's address under another name, so the voter's disk is lost
+    # and the voter can't vote any more. Every majority of the old voters and every
+    # majority of the new ones includes one of the other voters, so it is safe to
+    # replace the voter in one step.
     for learner in ready:
         for voter in voters:
             if voter.target == learner.target:
-                gone = {voter.name, learner.name}
-                return _changed(
+                replaced_names = {voter.name, learner.name}
+                return _replace_members(
                     members,
-                    lambda one, gone=gone: one.name not in gone,
+                    lambda member, names=replaced_names: member.name not in names,
                     _with_role(learner, True),
                 )
     return None
 
 
-def _drop_surplus(
+def _remove_surplus_voter(
     members: Members,
     voters: list[ControlMember],
     silent: list[ControlMember],
@@ -143,25 +150,25 @@
     if len(voters) <= target:
         return None
     if silent:
-        return _changed(members, lambda one: one.name != silent[0].name)
-    counts = _count_domains(voters)
+        return _replace_members(members, lambda member: member.name != silent[0].name)
+    counts = _count_voters_by_domain(voters)
     others = [voter for voter in voters if voter.name != leader]
     if not others:
         return None
-    spare = max(others, key=lambda one: (counts[one.failure_domain], one.name))
-    return _changed(
-        members, lambda one: one.name != spare.name, _with_role(spare, False)
+    demoted = max(others, key=lambda voter: (counts[voter.failure_domain], voter.name))
+    return _replace_members(
+        members, lambda member: member.name != demoted.name, _with_role(demoted, False)
     )
 
 
-def _count_domains(voters: list[ControlMember]) -> dict[str, int]:
+def _count_voters_by_domain(voters: list[ControlMember]) -> dict[str, int]:
     counts: dict[str, int] = {}
     for voter in voters:
         counts[voter.failure_domain] = counts.get(voter.failure_domain, 0) + 1
     return counts
 
 
-def _promote(
+def _promote_learner(
     members: Members,
     voters: list[ControlMember],
     silent: list[ControlMember],
@@ -172,17 +179,27 @@
         return None
     silent_names = {voter.name for voter in silent}
     staying = [voter for voter in voters if voter.name not in silent_names]
-    counts = _count_domains(staying)
-    best = min(ready, key=lambda one: (counts.get(one.failure_domain, 0), one.name))
-    return _changed(members, lambda one: one.name != best.name, _with_role(best, True))
+    counts = _count_voters_by_domain(staying)
+    promoted = min(
+        ready,
+        key=lambda learner: (counts.get(learner.failure_domain, 0), learner.name),
+    )
+    return _replace_members(
+        members, lambda member: member.name != promoted.name, _with_role(promoted, True)
+    )
 
 
-def _forget_learner(
-    members: Members, progress: Mapping[str, Progress]
+def _remove_silent_learner(
+    members: Members, progress: Mapping[str, MemberProgress]
 ) -> Members | None:
     for member in members.members:
-        if member.voter or _of(progress, member.name).silent_s <= FORGET_AFTER_S:
+        if (
+            member.voter
+            or _progress_of(progress, member.name).silent_s <= LEARNER_TIMEOUT_S
+        ):
             continue
-        gone = member.name
-        return _changed(members, lambda one, gone=gone: one.name != gone)
+        removed_name = member.name
+        return _replace_members(
+            members, lambda other, name=removed_name: other.name != name
+        )
     return None
--- a/src/agatethread/control/_members.py
+++ b/src/agatethread/control/_members.py
@@ -1,4 +1,4 @@
-"""Members of the log, as the log itself keeps them."""
+"""Queries on the members of the log."""
 
 from collections.abc import Iterable, Mapping
 
@@ -6,7 +6,7 @@
 
 
 def voter_names(members: Members) -> list[str]:
-    """List the members whose votes and copies count.
+    """Return the names of the voters.
 
     Parameters
     ----------
@@ -22,25 +22,25 @@
 
 
 def find_member(members: Members, name: str) -> ControlMember | None:
-    """Find a member by its name.
+    """Return a member by its name.
 
     Parameters
     ----------
     members : Members
         The members.
     name : str
-        Its name.
+        Name of the member.
 
     Returns
     -------
     ControlMember or None
-        None if there is no such member.
+        None if there is no member with that name.
     """
-    return next((one for one in members.members if one.name == name), None)
+    return next((member for member in members.members if member.name == name), None)
 
 
-def majority_of(members: Members) -> int:
-    """Count the voters that decide.
+def majority_count(members: Members) -> int:
+    """Return the number of voters that is a majority.
 
     Parameters
     ----------
@@ -50,44 +50,46 @@
     Returns
     -------
     int
-        More than half of the voters.
+        The smallest number that is more than half of the voters.
     """
     return len(voter_names(members)) // 2 + 1
 
 
 def has_majority(members: Members, names: Iterable[str]) -> bool:
-    """Tell whether some members decide together.
+    """Return whether members include a majority of the voters.
 
     Parameters
     ----------
     members : Members
         The members.
     names : iterable of str
-        Those that agree.
+        Names of the members.
 
     Returns
     -------
     bool
         Whether more than half of the voters are among them.
     """
-    agreeing = set(names).intersection(voter_names(members))
-    return len(agreeing) >= majority_of(members)
+    matching = set(names).intersection(voter_names(members))
+    return len(matching) >= majority_count(members)
 
 
-def replicated_index(members: Members, held: Mapping[str, int]) -> int:
-    """Find the last entry that more than half of the voters hold.
+def replicated_index(members: Members, match_indexes: Mapping[str, int]) -> int:
+    """Return the last index that is replicated to a majority of the voters.
 
     Parameters
     ----------
     members : Members
         The members.
-    held : mapping of str to int
-        The last entry that each member is known to hold.
+    match_indexes : mapping of str to int
+        Index of the last entry that each member is known to hold.
 
     Returns
     -------
     int
-        Its index; 0 without voters.
+        The index; 0 without voters.
     """
-    indexes = sorted((held.get(name, 0) for name in voter_names(members)), reverse=True)
-    return indexes[majority_of(members) - 1] if indexes else 0
+    indexes = sorted(
+        (match_indexes.get(name, 0) for name in voter_names(members)), reverse=True
+    )
+    return indexes[majority_count(members) - 1] if indexes else 0
--- a/src/agatethread/control/_orders.py
+++ b/src/agatethread/control/_orders.py
@@ -1,7 +1,7 @@
-"""What operators of the users' platform ask for: routing tables and evacuations.
+"""Operators' requests to a control instance: routing tables and evacuations.
 
-Each order goes through the log. It is acknowledged after a majority has synced it, and
-may be sent again to any instance until then.
+Each change is committed in the log before it is acknowledged. Until then an operator
+may send it again to any control instance.
 """
 
 import asyncio
@@ -10,34 +10,35 @@
 
 from agatethread.control._members import find_member
 from agatethread.control._raft import RaftNode
-from agatethread.control._state import find_name_fault
+from agatethread.control._state import find_name_error
 from agatethread.exceptions import ChangeRefusedError, FieldError, UnavailableError
 from agatethread.observability import Counters, Event, Histogram, make_logger
 from agatethread.registry import EvacuationPublisher
 from agatethread.routing import RoutingDocument, check_document, encode_table
 from agatethread.wire.control_pb2 import Command, Outcome, PutRoutes, SetEvacuation
 
-#: A change that is not agreed by then has no clear outcome; its sender tries again.
-_CHANGE_LIMIT_S = 2.5
-#: A read that can't be confirmed by then is refused; its sender waits for a second.
-_READ_LIMIT_S = 0.8
-#: Nor does the sender of an order wait for longer.
-_ANSWER_LIMIT_S = 0.8
+#: The outcome of a change that takes longer is unknown; its sender retries.
+_CHANGE_TIMEOUT_S = 2.5
+#: Below the timeout of one second of the sender.
+_READ_TIMEOUT_S = 0.8
+#: Time for an order and its distribution; the sender's timeout is one second too.
+_ACKNOWLEDGEMENT_TIMEOUT_S = 0.8
 
 log = make_logger("control")
 
 
 class OperatorOrders:
-    """Takes orders on behalf of one control instance.
+    """Handles operators' requests for one control instance.
 
     Parameters
     ----------
-    find_node : callable
-        Finds the member of the log; None while the log is not open.
+    get_node : callable
+        Returns the member of the log; None while the log is not open.
     evacuations : EvacuationPublisher
-        Tells entry instances of evacuations.
+        Sends evacuations to the entry instances.
     evacuation_wait_s : float
-        Longest time for which an evacuation's acknowledgement waits for them.
+        Longest time to delay an acknowledgement until the entry instances know the
+        evacuation.
     now_s : callable
         Monotonic clock.
     counters : Counters
@@ -46,65 +47,67 @@
 
     def __init__(
         self,
-        find_node: Callable[[], RaftNode | None],
+        get_node: Callable[[], RaftNode | None],
         evacuations: EvacuationPublisher,
         evacuation_wait_s: float,
         now_s: Callable[[], float],
         counters: Counters,
     ):
-        self._find_node = find_node
+        self._get_node = get_node
         self._evacuations = evacuations
         self._evacuation_wait_s = evacuation_wait_s
         self._now_s = now_s
         self._counters = counters
-        #: Time from a change until it was agreed.
+        #: Time from the request of a change until it was committed.
         self.change_s = Histogram()
 
-    def _node(self) -> RaftNode:
-        node = self._find_node()
+    def _require_node(self) -> RaftNode:
+        node = self._get_node()
         if node is None:
             raise UnavailableError("the log is not open")
         return node
 
     def leader_api(self) -> str:
-        """Find where operators reach the leader.
+        """Return the address of the leader's API.
 
         Returns
         -------
         str
             ``IP:port``, or an empty string if it is not known or is this instance.
         """
-        node = self._find_node()
+        node = self._get_node()
         if node is None or node.leader == node.name:
             return ""
         leader = find_member(node.members, node.leader)
         return leader.api if leader else ""
 
     async def put_routes(self, document: RoutingDocument, source: bytes) -> None:
-        """Put a routing table in force, unless a higher version is.
+        """Commit a routing table, unless its version or a later one is committed.
 
         Parameters
         ----------
         document : RoutingDocument
             The table.
         source : bytes
-            What it was read from, given back by `read_routes`.
+            Text of the table, returned by `read_routes`.
 
         Raises
         ------
         DocumentError
-            If it has faults.
+            If the table is invalid.
         NotLeaderError
-            If another instance has to be asked.
+            If another instance leads.
         UnavailableError, DiskFullError
-            If it is not known to have been agreed; it may be asked for again.
+            If it is not known to have been committed; it may be sent again.
         """
         check_document(document)
-        node = self._node()
-        before = node.documents.routes.version
-        if document.version <= before:
+        node = self._require_node()
+        current_version = node.documents.routes.version
+        if document.version <= current_version:
             log.info(
-                Event.CHANGE_OVERTAKEN, version=document.version, version_held=before
+                Event.CHANGE_OVERTAKEN,
+                version=document.version,
+                version_held=current_version,
             )
             return
         put = PutRoutes(
@@ -113,84 +116,84 @@
             table=encode_table(document).SerializeToString(deterministic=True),
         )
         started_s = self._now_s()
-        outcome = await self._agree(node, Command(put_routes=put))
+        outcome = await self._propose(node, Command(put_routes=put))
         took_s = self._now_s() - started_s
         self._counters["changes_agreed"] += 1
         self.change_s.record(took_s)
         log.info(
             Event.CHANGE_AGREED,
             version=document.version,
-            version_before=before,
+            version_before=current_version,
             index=outcome.index,
             term=node.term,
             took_s=round(took_s, 3),
         )
 
-    async def _agree(self, node: RaftNode, command: Command) -> Outcome:
+    async def _propose(self, node: RaftNode, command: Command) -> Outcome:
         proposal = node.propose(command.SerializeToString())
         try:
-            return await asyncio.wait_for(proposal, _CHANGE_LIMIT_S)
+            return await asyncio.wait_for(proposal, _CHANGE_TIMEOUT_S)
         except TimeoutError:
             raise UnavailableError("the change was not agreed in time") from None
 
     async def read_routes(self) -> bytes:
-        """Read the newest agreed routing table.
+        """Return the newest committed routing table.
 
         Returns
         -------
         bytes
-            The source it was put with; empty if there was none yet.
+            The `source` that it was stored with; empty if there is no table yet.
 
         Raises
         ------
         NotLeaderError
-            If another instance has to be asked.
+            If another instance leads.
         UnavailableError
-            If it is not sure that it is the newest.
+            If leadership could not be confirmed in time.
         """
-        node = self._node()
-        await node.confirm_leadership(_READ_LIMIT_S)
+        node = self._require_node()
+        await node.confirm_leadership(_READ_TIMEOUT_S)
         source = node.documents.routes.source
         return zlib.decompress(source) if source else b""
 
     async def set_evacuation(self, failure_domain: str, evacuated: bool) -> None:
-        """Give a failure domain's backend servers no new work, or give it again.
+        """Evacuate a failure domain, or readmit it.
 
-        Idempotent; an order has its effect at its place in the log, so one that is sent
-        again after it was overtaken is in force again.
+        Idempotent. Orders take effect in log order: one that is sent again after a
+        later order replaces that one.
 
         Parameters
         ----------
         failure_domain : str
-            Its name; nobody need have heard of it.
+            Its name; the failure domain need not be known.
         evacuated : bool
-            Whether it gets none.
+            Whether its backend servers get no new work.
 
         Raises
         ------
         FieldError
-            If no failure domain can have that name.
+            If it is not a valid name of a failure domain.
         ChangeRefusedError
-            If too many are evacuated; it may be asked for again later.
+            If too many failure domains are evacuated; it may be sent again later.
         NotLeaderError
-            If another instance has to be asked.
+            If another instance leads.
         UnavailableError, DiskFullError
-            If it is not known to have been agreed; it may be asked for again.
+            If it is not known to have been committed; it may be sent again.
         """
-        fault = find_name_fault(failure_domain)
-        if fault:
-            raise FieldError("order", "failure_domain", failure_domain, fault)
+        error = find_name_error(failure_domain)
+        if error:
+            raise FieldError("order", "failure_domain", failure_domain, error)
         change = SetEvacuation(failure_domain=failure_domain, evacuated=evacuated)
-        node = self._node()
+        node = self._require_node()
         started_s = self._now_s()
-        outcome = await self._agree(node, Command(set_evacuation=change))
+        outcome = await self._propose(node, Command(set_evacuation=change))
         if not outcome.accepted:
             raise ChangeRefusedError(outcome.error)
         agreed_s = self._now_s()
         version = node.documents.evacuations.version
-        left_s = _ANSWER_LIMIT_S - (agreed_s - started_s)
-        everywhere = await self._evacuations.wait_until_known(
-            version, max(0.0, min(self._evacuation_wait_s, left_s))
+        remaining_s = _ACKNOWLEDGEMENT_TIMEOUT_S - (agreed_s - started_s)
+        is_known_everywhere = await self._evacuations.wait_until_known(
+            version, max(0.0, min(self._evacuation_wait_s, remaining_s))
         )
         log.info(
             Event.EVACUATION_AGREED,
@@ -201,5 +204,5 @@
             term=node.term,
             took_s=round(agreed_s - started_s, 3),
             told_s=round(self._now_s() - agreed_s, 3),
-            told_everywhere=everywhere,
+            told_everywhere=is_known_everywhere,
         )
--- a/src/agatethread/control/_peers.py
+++ b/src/agatethread/control/_peers.py
@@ -1,4 +1,4 @@
-"""Calls to the other control instances over gRPC."""
+"""gRPC calls to other control instances."""
 
 from functools import cache
 
@@ -11,7 +11,7 @@
 
 
 def connect_peer(credentials: Credentials, target: str, timeout_s: float) -> PeerCalls:
-    """Make the calls to one control instance.
+    """Return the calls to one control instance.
 
     Parameters
     ----------
@@ -20,30 +20,30 @@
     target : str
         ``IP:port``.
     timeout_s : float
-        Time for each call.
+        Timeout of each call.
 
     Returns
     -------
     PeerCalls
-        The calls; the channel is opened at the first one.
+        The calls; the first one opens the channel.
     """
 
     @cache
-    def stub() -> ReplicationStub:
+    def get_stub() -> ReplicationStub:
         return ReplicationStub(open_channel(credentials, target))
 
-    def bounded(name: str):
+    def make_call(name: str):
         async def call(request):
             try:
-                return await getattr(stub(), name)(request, timeout=timeout_s)
+                return await getattr(get_stub(), name)(request, timeout=timeout_s)
             except grpc.RpcError as error:
                 raise UnavailableError(f"{target}: {error.code()}") from None
 
         return call
 
     return PeerCalls(
-        bounded("Vote"),
-        bounded("Append"),
-        bounded("InstallSnapshot"),
-        bounded("Join"),
+        make_call("Vote"),
+        make_call("Append"),
+        make_call("InstallSnapshot"),
+        make_call("Join"),
     )
--- a/src/agatethread/control/_proposals.py
+++ b/src/agatethread/control/_proposals.py
@@ -1,4 +1,4 @@
-"""Who waits for the outcome of which entry of the log."""
+"""Proposed log entries that are not committed yet."""
 
 import asyncio
 
@@ -6,58 +6,58 @@
 from agatethread.wire.control_pb2 import LogEntry, Outcome
 
 
-class Proposals:
-    """Waiting proposers by the index of their entry."""
+class PendingProposals:
+    """Futures of proposed entries, by index."""
 
     def __init__(self) -> None:
-        self._waiting: dict[int, tuple[int, asyncio.Future[Outcome]]] = {}
+        self._pending: dict[int, tuple[int, asyncio.Future[Outcome]]] = {}
 
-    def wait_for(self, entry: LogEntry) -> asyncio.Future[Outcome]:
-        """Wait for an entry that was appended.
+    def add(self, entry: LogEntry) -> asyncio.Future[Outcome]:
+        """Add an entry that was appended to the log.
 
         Parameters
         ----------
         entry : LogEntry
-            The entry.
+            The appended entry.
 
         Returns
         -------
         asyncio.Future
-            Its outcome.
+            Future of its outcome.
         """
-        waiting = asyncio.get_running_loop().create_future()
-        self._waiting[entry.index] = (entry.term, waiting)
-        return waiting
+        future = asyncio.get_running_loop().create_future()
+        self._pending[entry.index] = (entry.term, future)
+        return future
 
-    def answer(self, entry: LogEntry, outcome: Outcome, leader: str) -> None:
-        """Tell the outcome of a committed entry to whoever waits at its index.
+    def complete(self, entry: LogEntry, outcome: Outcome, leader: str) -> None:
+        """Complete the future at the index of a committed entry.
 
         Parameters
         ----------
         entry : LogEntry
-            The entry.
+            The committed entry.
         outcome : Outcome
-            What applying it gave.
+            Outcome of the entry.
         leader : str
-            Whom to ask instead, where another leader's entry came to be here.
+            Name of the current leader, for a proposal that another entry replaced.
         """
-        term, waiting = self._waiting.pop(entry.index, (0, None))
-        if waiting is None or waiting.done():
+        term, future = self._pending.pop(entry.index, (0, None))
+        if future is None or future.done():
             return
         if term == entry.term:
-            waiting.set_result(outcome)
+            future.set_result(outcome)
         else:
-            waiting.set_exception(NotLeaderError(leader))
+            future.set_exception(NotLeaderError(leader))
 
-    def fail(self, leader: str) -> None:
-        """Tell everyone that the outcome is not known here.
+    def fail_all(self, leader: str) -> None:
+        """Fail all futures, since this member no longer learns the outcomes.
 
         Parameters
         ----------
         leader : str
-            Whom to ask instead.
+            Name of the current leader.
         """
-        for _, waiting in self._waiting.values():
-            if not waiting.done():
-                waiting.set_exception(NotLeaderError(leader))
-        self._waiting.clear()
+        for _, future in self._pending.values():
+            if not future.done():
+                future.set_exception(NotLeaderError(leader))
+        self._pending.clear()
--- a/src/agatethread/control/_raft.py
+++ b/src/agatethread/control/_raft.py
@@ -16,11 +16,11 @@
 from agatethread.control._members import (
     find_member,
     has_majority,
-    majority_of,
+    majority_count,
     replicated_index,
     voter_names,
 )
-from agatethread.control._proposals import Proposals
+from agatethread.control._proposals import PendingProposals
 from agatethread.control._roles import PeerCalls, Role
 from agatethread.control._state import DocumentState
 from agatethread.control._storage import LogStorage
@@ -106,7 +106,7 @@
             lambda names: has_majority(self.members, [self.name, *names])
         )
         self._disk_health = DiskHealth(now_s)
-        self._proposals = Proposals()
+        self._proposals = PendingProposals()
         self._commit_to(min(self._recovered_commit_index, self.last_index))
 
     def _recover(self) -> None:
@@ -183,7 +183,7 @@
 
     @property
     def _majority(self) -> int:
-        return majority_of(self.members)
+        return majority_count(self.members)
 
     @property
     def _votes_needed(self) -> int:
@@ -528,7 +528,7 @@
             outcome = self.documents.apply(entry.index, entry.term, entry.command)
             if entry.HasField("members"):
                 self.documents.members.CopyFrom(entry.members)
-            self._proposals.answer(entry, outcome, self.leader)
+            self._proposals.complete(entry, outcome, self.leader)
         self.commit_index = index
         self._compact()
         try:
@@ -541,7 +541,7 @@
             self._become_follower("")
 
     def _fail_waiting(self) -> None:
-        self._proposals.fail(self.leader)
+        self._proposals.fail_all(self.leader)
         for waiting in self._confirmations.pop_all():
             if not waiting.done():
                 waiting.set_exception(NotLeaderError(self.leader))
@@ -637,7 +637,7 @@
         if entry.HasField("members"):
             self._refresh_members()
             self._follow_members()
-        waiting = self._proposals.wait_for(entry)
+        waiting = self._proposals.add(entry)
         self._wake_all()
         self._advance_commit()
         return await waiting
@@ -726,7 +726,7 @@
         return self.last_index - (follower.match_index if follower else 0)
 
     @property
-    def heard_leader_ago_s(self) -> float:
+    def leader_silence_s(self) -> float:
         """Time since a leader was heard; 0 while this member leads."""
         if self.role is Role.LEADER:
             return 0.0
--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -337,7 +337,7 @@
         return self.subscription.is_complete()
 
     def _hears_leader(self) -> bool:
-        return self.node is not None and self.node.heard_leader_ago_s < _LED_S
+        return self.node is not None and self.node.leader_silence_s < _LED_S
 
     def _on_message(self, message: RegistryMessage, source: bytes) -> None:
         body = message.WhichOneof("body")
--- a/src/agatethread/control/_routing_state.py
+++ b/src/agatethread/control/_routing_state.py
@@ -52,7 +52,7 @@
             "leads": of_log(lambda node: float(node.role is Role.LEADER)),
             "term": of_log(lambda node: float(node.term)),
             "commit_index": of_log(lambda node: float(node.commit_index)),
-            "leader_silent_s": of_log(lambda node: node.heard_leader_ago_s),
+            "leader_silent_s": of_log(lambda node: node.leader_silence_s),
             "routes_version": of_log(lambda node: float(node.documents.routes.version)),
         },
         {"change_s": change_s},
--- a/src/agatethread/control/_state.py
+++ b/src/agatethread/control/_state.py
@@ -205,7 +205,7 @@
         )
 
 
-def find_name_fault(failure_domain: str) -> str:
+def find_name_error(failure_domain: str) -> str:
     """Check a name that an operator gives for a failure domain.
 
     Whether such a domain exists is not checked: a control instance that has just
@@ -246,7 +246,7 @@
     if not command.change_id:
         return "a change needs a change id"
     if command.WhichOneof("body") == "set_evacuation":
-        return find_name_fault(command.set_evacuation.failure_domain)
+        return find_name_error(command.set_evacuation.failure_domain)
     if command.WhichOneof("body") != "put_document":
         return "" if command.set_drain.name else "a drain needs a name"
 
--- a/tests/control/test_state.py
+++ b/tests/control/test_state.py
@@ -4,7 +4,7 @@
 from agatethread.control._state import (
     MOST_EVACUATED,
     check_command,
-    find_name_fault,
+    find_name_error,
 )
 from agatethread.wire.control_pb2 import (
     Command,
@@ -133,9 +133,9 @@
     def test_name_of_a_failure_domain(self):
         """Any name that one can have is taken, whether or not one has it."""
         for name in ("hall-a", "køge", "x" * 255):
-            self.assertEqual(find_name_fault(name), "")
+            self.assertEqual(find_name_error(name), "")
         for name in ("", "hall a", "a/b", "a\n", "x" * 256, "\x00"):
-            self.assertNotEqual(find_name_fault(name), "", name)
+            self.assertNotEqual(find_name_error(name), "", name)
         command = evacuate("")
         command.change_id = "x"
         self.assertIn("name", check_command(command))
