--- a/src/agatethread/control/_raft.py
+++ b/src/agatethread/control/_raft.py
@@ -1,4 +1,4 @@
-"""Replicated log after Raft (Ongaro and Ousterhout, USENIX ATC 2014).
+"""Log replication by Raft (Ongaro and Ousterhout, USENIX ATC 2014).
 
 Pre-vote and check-quorum are from Ongaro's dissertation (2014), sections 9.6 and 6.2.
 """
@@ -41,7 +41,7 @@
 )
 
 _ELECTION_POLL_S = 0.02
-#: Share of the election timeout that is waited for after a start.
+#: Part of the election timeout that applies after a start.
 _FIRST_TIMEOUT_RATIO = 0.25
 
 Connect = Callable[[ControlMember], PeerCalls]
@@ -55,20 +55,20 @@
     Parameters
     ----------
     name : str
-        This member.
+        Name of this member.
     settings : ControlSettings
         Timing and snapshot threshold.
     storage : LogStorage
-        Its disk.
+        Files of this member.
     peers : dict of str to PeerCalls
-        The other members, where the settings name them all.
+        The other members, if the settings name them all.
     now_s : callable
         Monotonic clock.
     seed : int, optional
-        Of the election timeouts.
+        Seed of the random election timeouts.
     connect : callable, optional
-        Makes the calls to a member that the log names; without it the members are
-        `peers` and this one, for good.
+        Returns the calls to a member that the log names; without it the members are
+        `peers` and this one and don't change.
     """
 
     def __init__(
@@ -93,12 +93,12 @@
         self.role = Role.FOLLOWER
         self.leader = ""
         self._recover()
-        #: When a leader was last heard: what others' candidacies are judged by.
-        self._heard_leader_s = now_s()
-        #: What the election timeout counts from; also an own candidacy restarts it.
-        self._waiting_since_s = now_s()
-        # After a restart of all nobody leads, and the sooner one stands the better; if
-        # somebody does lead, the pre-vote is refused and nothing is disturbed.
+        #: Time of the last message of a leader; a pre-vote depends on it.
+        self._leader_contact_s = now_s()
+        #: Start of the election timeout; a vote or an own candidacy restarts it too.
+        self._timeout_start_s = now_s()
+        # Short, for an early election after all members have restarted; if there is a
+        # leader, the pre-vote is refused and has no effect.
         self._timeout_s = self._draw_timeout_s() * _FIRST_TIMEOUT_RATIO
         self._followers: dict[str, Follower] = {}
         self._listeners: list[Callable[[], None]] = []
@@ -125,7 +125,7 @@
         self._refresh_members()
 
     def _refresh_members(self) -> None:
-        # The newest members in the log are in force, committed or not (Ongaro's
+        # The newest members in the log apply, committed or not (Ongaro's
         # dissertation, section 4.1).
         self.members = (
             self._log.latest_members()
@@ -138,16 +138,16 @@
         """Whether this member votes."""
         return self.name in voter_names(self.members)
 
-    def _call(self, name: str) -> PeerCalls:
+    def _get_peer(self, name: str) -> PeerCalls:
         peer = self._peers.get(name)
         if peer is None:
             peer = self._peers[name] = self._connect(find_member(self.members, name))
         return peer
 
-    def _others(self) -> list[str]:
-        return [one.name for one in self.members.members if one.name != self.name]
-
-    # -- log ----------------------------------------------------------------------
+    def _other_members(self) -> list[str]:
+        return [
+            member.name for member in self.members.members if member.name != self.name
+        ]
 
     @property
     def last_index(self) -> int:
@@ -155,7 +155,7 @@
         return self._log.last_index
 
     def committed_entries(self) -> list[LogEntry]:
-        """List the committed entries that are not yet in a snapshot.
+        """Return the committed entries that are not yet in a snapshot.
 
         Returns
         -------
@@ -166,11 +166,11 @@
 
     @property
     def term(self) -> int:
-        """The newest term that this member knows."""
+        """The current term of this member."""
         return self._ballot.term
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Be told after committed entries have been applied.
+        """Register a listener that is called after committed entries were applied.
 
         Parameters
         ----------
@@ -179,8 +179,6 @@
         """
         self._listeners.append(listener)
 
-    # -- elections ----------------------------------------------------------------
-
     @property
     def _majority(self) -> int:
         return majority_count(self.members)
@@ -203,53 +201,53 @@
             if self.role is Role.LEADER:
                 self._check_quorum()
                 continue
-            if self._now_s() - self._waiting_since_s < self._timeout_s:
+            if self._now_s() - self._timeout_start_s < self._timeout_s:
                 continue
             if not self.is_voter or not self._disk_health.may_be_candidate:
                 continue
             try:
-                await self._stand()
+                await self._run_election()
             except DiskFullError as error:
                 log.error(Event.CANT_STAND, error=str(error))
                 self._disk_health.pause_candidacy()
 
     def _check_quorum(self) -> None:
-        oldest_s = self._now_s() - 2 * self._settings.election_timeout_s
-        reached = [
+        min_answer_s = self._now_s() - 2 * self._settings.election_timeout_s
+        reachable = [
             name
             for name, follower in self._followers.items()
-            if follower.last_answer_s > oldest_s
+            if follower.last_answer_s > min_answer_s
         ]
-        if not has_majority(self.members, [self.name, *reached]):
+        if not has_majority(self.members, [self.name, *reachable]):
             log.warning(Event.QUORUM_LOST, term=self.term)
             self._become_follower("")
 
-    async def _stand(self) -> None:
-        heard_s, term = self._heard_leader_s, self.term
-        self._waiting_since_s = self._now_s()
+    async def _run_election(self) -> None:
+        contact_s, term = self._leader_contact_s, self.term
+        self._timeout_start_s = self._now_s()
         self._timeout_s = self._draw_timeout_s()
         if not await self._collect_votes(term + 1, pre_vote=True):
             return
-        if self._heard_leader_s != heard_s or self.term != term or self.should_stop:
+        if self._leader_contact_s != contact_s or self.term != term or self.should_stop:
             return
 
         self.role = Role.CANDIDATE
         self.leader = ""
         self._ballot.start_candidacy(self.name)
         term = self.term
-        won = await self._collect_votes(term, pre_vote=False)
+        is_elected = await self._collect_votes(term, pre_vote=False)
         is_current = self.role is Role.CANDIDATE and self.term == term
-        if won and is_current and not self.should_stop:
+        if is_elected and is_current and not self.should_stop:
             self._become_leader()
 
     async def _collect_votes(self, term: int, pre_vote: bool) -> bool:
         needed = self._votes_needed
-        # Tasks, since `as_completed` starts coroutines in the order of a set, and equal
-        # seeds would not give equal runs.
-        asked = [
+        # Tasks: `as_completed` would start plain coroutines in the order of a set, and
+        # runs with equal seeds would differ.
+        requests = [
             asyncio.ensure_future(
-                self._ask_vote(
-                    self._call(name),
+                self._request_vote(
+                    self._get_peer(name),
                     VoteRequest(
                         term=term,
                         candidate=self.name,
@@ -263,14 +261,14 @@
             for name in voter_names(self.members)
             if name != self.name
         ]
-        votes = 1
-        for next_vote in asyncio.as_completed(asked):
-            votes += await next_vote
-            if votes >= needed:
+        vote_count = 1
+        for next_vote in asyncio.as_completed(requests):
+            vote_count += await next_vote
+            if vote_count >= needed:
                 return True
-        return votes >= needed
+        return vote_count >= needed
 
-    async def _ask_vote(self, peer: PeerCalls, request: VoteRequest) -> bool:
+    async def _request_vote(self, peer: PeerCalls, request: VoteRequest) -> bool:
         try:
             reply = await peer.vote(request)
         except UnavailableError:
@@ -287,7 +285,7 @@
     def _become_follower(self, leader: str) -> None:
         if self.role is Role.LEADER:
             log.info(Event.LEADER_NO_MORE, term=self.term, leader=leader)
-            self._fail_waiting()
+            self._fail_pending()
         self.role = Role.FOLLOWER
         self.leader = leader
 
@@ -298,34 +296,38 @@
         self._disk_health.record_success()
         self._ballot.enable_voting()
         self._followers.clear()
-        # An entry of its own term lets it commit those of earlier terms.
+        # An entry of the current term allows it to commit those of earlier terms.
         self._log.append([LogEntry(index=self.last_index + 1, term=self.term)])
-        self._follow_members()
+        self._update_followers()
         self._advance_commit()
 
-    def _follow_members(self) -> None:
-        """Start to replicate to new members; tasks of those that left end alone."""
-        others = self._others()
+    def _update_followers(self) -> None:
+        """Start replication to new members; wake tasks of removed members to end."""
+        others = self._other_members()
         for name in others:
             if name not in self._followers:
                 follower = Follower(self.last_index + 1, last_answer_s=self._now_s())
                 self._followers[name] = follower
                 self.add_future(self._replicate(name, follower, self.term))
-        for name in [one for one in self._followers if one not in others]:
+        for name in [
+            follower_name
+            for follower_name in self._followers
+            if follower_name not in others
+        ]:
             self._followers.pop(name).wake.set()
 
     def on_vote(self, request: VoteRequest) -> VoteReply:
-        """Answer a candidate.
+        """Handle a candidate's request for a vote.
 
         Parameters
         ----------
         request : VoteRequest
-            Its request.
+            The request.
 
         Returns
         -------
         VoteReply
-            Whether it has this member's vote.
+            Whether the vote is granted.
         """
         if request.pre_vote:
             return VoteReply(term=self.term, granted=self._would_vote(request))
@@ -334,11 +336,11 @@
             self._adopt_term(request.term)
         granted = self._ballot.grant_vote(request, self._log_end)
         if granted:
-            self._waiting_since_s = self._now_s()
+            self._timeout_start_s = self._now_s()
         return VoteReply(term=self.term, granted=granted)
 
     def _would_vote(self, request: VoteRequest) -> bool:
-        silent_s = self._now_s() - self._heard_leader_s
+        silent_s = self._now_s() - self._leader_contact_s
         has_leader = self.role is Role.LEADER or (
             self.leader and silent_s < self._settings.election_timeout_s
         )
@@ -352,20 +354,18 @@
     def _log_end(self) -> LogEnd:
         return (self._log.term_at(self.last_index), self.last_index)
 
-    # -- replication --------------------------------------------------------------
-
     async def _replicate(self, name: str, follower: Follower, term: int) -> None:
-        peer = self._call(name)
-        while self._followers.get(name) is follower and self._leads(term):
+        peer = self._get_peer(name)
+        while self._followers.get(name) is follower and self._is_leader_of(term):
             follower.wake.clear()
             try:
-                more = await self._send_to(name, follower, peer)
+                has_more = await self._send_to(name, follower, peer)
             except UnavailableError:
-                more = False
+                has_more = False
             except DiskFullError as error:
                 log.error(Event.TERM_NOT_TAKEN, error=str(error))
-                more = False
-            if more:
+                has_more = False
+            if has_more:
                 continue
             try:
                 interval_s = self._settings.heartbeat_interval_s
@@ -373,29 +373,29 @@
             except TimeoutError:
                 continue
 
-    def _leads(self, term: int) -> bool:
+    def _is_leader_of(self, term: int) -> bool:
         return self.role is Role.LEADER and self.term == term and not self.should_stop
 
     async def _send_to(self, name: str, follower: Follower, peer: PeerCalls) -> bool:
-        """Send what a follower lacks; return whether there is more to send."""
-        term, number = self.term, self._confirmations.round
+        """Send missing entries to a follower; return whether more are left to send."""
+        term, confirmation_round = self.term, self._confirmations.round
         if follower.next_index <= self._log.base_index:
             reply = await peer.install_snapshot(self._snapshot_request(name))
         else:
             request = self._append_request(name, follower.next_index)
             reply = await peer.append(request)
-        if not self._leads(term) or self._followers.get(name) is not follower:
+        if not self._is_leader_of(term) or self._followers.get(name) is not follower:
             return False
         if reply.term > self.term:
             self._adopt_term(reply.term)
             return False
 
         follower.last_answer_s = self._now_s()
-        follower.confirmed_round = number
+        follower.confirmed_round = confirmation_round
         self._confirmations.complete_confirmed(self._followers)
         if not reply.success:
-            earlier = min(follower.next_index - 1, reply.match_index + 1)
-            follower.next_index = max(1, earlier)
+            retry_index = min(follower.next_index - 1, reply.match_index + 1)
+            follower.next_index = max(1, retry_index)
             return True
         follower.match_index = max(follower.match_index, reply.match_index)
         follower.next_index = follower.match_index + 1
@@ -426,12 +426,14 @@
         )
 
     def _advance_commit(self) -> None:
-        held = {name: one.match_index for name, one in self._followers.items()}
-        held[self.name] = self.last_index
-        index = replicated_index(self.members, held)
+        match_indexes = {
+            name: follower.match_index for name, follower in self._followers.items()
+        }
+        match_indexes[self.name] = self.last_index
+        index = replicated_index(self.members, match_indexes)
         if index > self.commit_index and self._log.term_at(index) == self.term:
             self._commit_to(index)
-            self._wake_all()
+            self._wake_followers()
 
     def _accept_leader(self, term: int, leader: str) -> bool:
         if term < self.term:
@@ -439,22 +441,22 @@
         if term > self.term:
             self._adopt_term(term)
         self._become_follower(leader)
-        self._heard_leader_s = self._now_s()
-        self._waiting_since_s = self._heard_leader_s
+        self._leader_contact_s = self._now_s()
+        self._timeout_start_s = self._leader_contact_s
         return True
 
     def on_append(self, request: AppendRequest) -> AppendReply:
-        """Take a leader's entries.
+        """Store a leader's entries.
 
         Parameters
         ----------
         request : AppendRequest
-            The entries and what precedes them.
+            The entries, and index and term of the entry before them.
 
         Returns
         -------
         AppendReply
-            Whether they were written, and how far the log matches.
+            Whether they were written, and the last index that matches the leader's log.
 
         Raises
         ------
@@ -470,10 +472,10 @@
                 return AppendReply(term=self.term, match_index=self.commit_index)
 
         self._write_new(list(request.entries))
-        match = request.previous_index + len(request.entries)
+        match_index = request.previous_index + len(request.entries)
         self._ballot.enable_voting()
-        self._commit_to(min(request.commit_index, match))
-        return AppendReply(term=self.term, success=True, match_index=match)
+        self._commit_to(min(request.commit_index, match_index))
+        return AppendReply(term=self.term, success=True, match_index=match_index)
 
     def _write_new(self, entries: list[LogEntry]) -> None:
         for position, entry in enumerate(entries):
@@ -489,7 +491,7 @@
             return
 
     def on_snapshot(self, request: SnapshotRequest) -> AppendReply:
-        """Take a leader's snapshot in place of a log that is too far behind.
+        """Replace a log that is too far behind by the leader's snapshot.
 
         Parameters
         ----------
@@ -499,7 +501,7 @@
         Returns
         -------
         AppendReply
-            How far the log now goes.
+            The last index that matches the leader's log.
 
         Raises
         ------
@@ -514,12 +516,10 @@
             self.documents.restore(snapshot)
             self.commit_index = snapshot.last_index
             self._refresh_members()
-            self._tell_listeners()
+            self._notify_listeners()
         self._ballot.enable_voting()
-        match = max(request.last_index, self.commit_index)
-        return AppendReply(term=self.term, success=True, match_index=match)
-
-    # -- commit -------------------------------------------------------------------
+        match_index = max(request.last_index, self.commit_index)
+        return AppendReply(term=self.term, success=True, match_index=match_index)
 
     def _commit_to(self, index: int) -> None:
         if index <= self.commit_index:
@@ -535,16 +535,16 @@
             self._storage.save_commit(index)
         except DiskFullError as error:
             log.warning(Event.COMMIT_NOT_SAVED, error=str(error))
-        self._tell_listeners()
+        self._notify_listeners()
         if self.role is Role.LEADER and not self.is_voter:
             log.info(Event.LEADER_NO_VOTER, term=self.term)
             self._become_follower("")
 
-    def _fail_waiting(self) -> None:
+    def _fail_pending(self) -> None:
         self._proposals.fail_all(self.leader)
-        for waiting in self._confirmations.pop_all():
-            if not waiting.done():
-                waiting.set_exception(NotLeaderError(self.leader))
+        for confirmation in self._confirmations.pop_all():
+            if not confirmation.done():
+                confirmation.set_exception(NotLeaderError(self.leader))
 
     def _compact(self) -> None:
         applied_count = self.commit_index - self._log.base_index
@@ -555,7 +555,7 @@
         except DiskFullError as error:
             log.error(Event.LOG_NOT_COMPACTED, error=str(error))
 
-    def _tell_listeners(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
 
@@ -570,13 +570,13 @@
         Returns
         -------
         Outcome
-            What applying it gave.
+            Outcome of the command.
 
         Raises
         ------
         NotLeaderError
-            If this member does not lead, or stopped leading before it knew the
-            outcome; the change may yet be committed, and its id tells.
+            If this member does not lead, or lost leadership before the outcome was
+            known; the change may still be committed under its id.
         DiskFullError
             If it could not be written; it was not accepted.
         """
@@ -588,17 +588,17 @@
         Parameters
         ----------
         members : Members
-            The members from now on; they differ by one voter at most from those before.
+            The new members; they differ by one voter at most from the current ones.
 
         Returns
         -------
         Outcome
-            That it was committed.
+            Outcome of the committed change.
 
         Raises
         ------
         NotLeaderError
-            If this member does not lead, or the change before is not committed yet.
+            If this member does not lead, or an earlier change is not committed yet.
         DiskFullError
             If it could not be written.
         """
@@ -608,7 +608,7 @@
 
     @property
     def can_change_members(self) -> bool:
-        """Whether this member leads and no earlier change is under way."""
+        """Whether this member leads and no earlier change is uncommitted."""
         return (
             self.has_committed_in_term
             and self._log.latest_members_index() <= self.commit_index
@@ -616,7 +616,7 @@
 
     @property
     def has_committed_in_term(self) -> bool:
-        """Whether this member leads and knows all that was ever committed."""
+        """Whether this member leads and has committed an entry of its term."""
         return (
             self.role is Role.LEADER
             and self._log.term_at(self.commit_index) == self.term
@@ -631,33 +631,31 @@
         try:
             self._log.append([entry])
         except DiskFullError:
-            self._note_write_failure()
+            self._record_write_failure()
             raise
         self._disk_health.record_success()
         if entry.HasField("members"):
             self._refresh_members()
-            self._follow_members()
-        waiting = self._proposals.add(entry)
-        self._wake_all()
+            self._update_followers()
+        outcome = self._proposals.add(entry)
+        self._wake_followers()
         self._advance_commit()
-        return await waiting
+        return await outcome
 
-    def _note_write_failure(self) -> None:
+    def _record_write_failure(self) -> None:
         if self._disk_health.record_failure():
             log.error(Event.LEADER_CANT_WRITE, term=self.term)
             self._become_follower("")
 
-    def _wake_all(self) -> None:
+    def _wake_followers(self) -> None:
         for follower in self._followers.values():
             follower.wake.set()
 
-    # -- reads --------------------------------------------------------------------
-
     async def confirm_leadership(self, limit_s: float) -> None:
-        """Wait until more than half of the voters confirm that this member leads now.
+        """Wait until a majority of the voters confirms that this member leads.
 
-        What is committed here afterwards was the newest when the call was made. No
-        clock is trusted: a process may have stood still without noticing.
+        The state committed here afterwards was current when the call was made. It does
+        not depend on clocks, since a process may have been suspended.
 
         Parameters
         ----------
@@ -667,22 +665,22 @@
         Raises
         ------
         NotLeaderError
-            If it does not lead.
+            If this member does not lead.
         UnavailableError
             If too few answered in time.
         """
         if not self.has_committed_in_term:
             raise NotLeaderError(self.leader)
-        waiting = self._confirmations.start()
-        self._wake_all()
+        confirmation = self._confirmations.start()
+        self._wake_followers()
         self._confirmations.complete_confirmed(self._followers)
         try:
-            await asyncio.wait_for(waiting, limit_s)
+            await asyncio.wait_for(confirmation, limit_s)
         except TimeoutError:
             raise UnavailableError("leadership was not confirmed in time") from None
 
     def sync_commit_index(self) -> None:
-        """Sync the hint how far the log is committed; waits for the disk.
+        """Sync the saved commit index; blocks until the disk has written it.
 
         Raises
         ------
@@ -691,49 +689,47 @@
         """
         self._storage.sync_commit()
 
-    # -- observation --------------------------------------------------------------
-
     def silence_s(self, name: str) -> float:
-        """Tell how long ago a member answered this leader.
+        """Return the time since a member last answered this leader.
 
         Parameters
         ----------
         name : str
-            The member.
+            Name of the member.
 
         Returns
         -------
         float
-            Seconds.
+            Seconds; 0 if it is no follower of this member.
         """
         follower = self._followers.get(name)
         return self._now_s() - follower.last_answer_s if follower else 0.0
 
     def lag_count(self, name: str) -> int:
-        """Tell how many entries a member lacks, as far as this leader knows.
+        """Return how many entries a member lacks, as far as this leader knows.
 
         Parameters
         ----------
         name : str
-            The member.
+            Name of the member.
 
         Returns
         -------
         int
-            Entries.
+            Number of entries.
         """
         follower = self._followers.get(name)
         return self.last_index - (follower.match_index if follower else 0)
 
     @property
     def leader_silence_s(self) -> float:
-        """Time since a leader was heard; 0 while this member leads."""
+        """Time since the last message of a leader; 0 while this member leads."""
         if self.role is Role.LEADER:
             return 0.0
-        return self._now_s() - self._heard_leader_s
+        return self._now_s() - self._leader_contact_s
 
     async def on_stop(self) -> None:
-        """Close the disk's files."""
+        """Fail pending calls and close the files."""
         self._become_follower("")
-        self._fail_waiting()
+        self._fail_pending()
         self._storage.close()
--- a/tests/control/test_raft.py
+++ b/tests/control/test_raft.py
@@ -20,7 +20,7 @@
 
 
 class ControlMachine(RuleBasedStateMachine):
-    """A log among faults; the oracle is what operators were told."""
+    """Runs a log under faults; checks it against the replies to operators."""
 
     def __init__(self):
         super().__init__()
@@ -39,9 +39,9 @@
         await asyncio.sleep(3)
         return world
 
-    def run(self, work, wait_s=0.0):
+    def run(self, coroutine, wait_s=0.0):
         async def main():
-            result = await work if work is not None else None
+            result = await coroutine if coroutine is not None else None
             await asyncio.sleep(wait_s)
             return result
 
@@ -49,9 +49,10 @@
 
     @rule(ahead=st.integers(0, 1), wait_s=st.sampled_from((0.0, 0.05, 0.5)))
     def change(self, ahead, wait_s):
-        """Two operators send changes with equal numbers."""
+        """Send two changes, with equal or consecutive versions, at the same time."""
         newest = max(
-            [n.documents.documents["tab"].version for n in self.alive_with_tab()] or [0]
+            [node.documents.documents["tab"].version for node in self.nodes_with_tab()]
+            or [0]
         )
         self.changes += 1
 
@@ -61,13 +62,13 @@
 
         self.run(send(), wait_s)
 
-    def alive_with_tab(self):
+    def nodes_with_tab(self):
         nodes = self.world.nodes.values()
         return [node for node in nodes if "tab" in node.documents.documents]
 
     @rule(name=NAMES, disk=st.sampled_from(("kept", "kept", "torn", "lost")))
     def restart(self, name, disk):
-        """Kill a member and start it again from its disk; one disk is lost at most."""
+        """Kill and restart a member; at most one disk is lost in a run."""
         self.run(self.world.kill(name))
         if disk == "lost" and not self.lost:
             self.world.lose_disk(name)
@@ -115,14 +116,16 @@
         self.heal()
         self.noise(0.0, 0.0)
         self.run(None, 8.0)
-        found = self.world.settled_violations()
-        leaders = [n for n in self.world.nodes.values() if n.role is Role.LEADER]
+        violations = self.world.settled_violations()
+        leaders = [
+            node for node in self.world.nodes.values() if node.role is Role.LEADER
+        ]
         self.run(self.world.close())
         self.runner.close()
         self.sync.stop()
         self.folder.cleanup()
-        assert not found, found
-        assert len(leaders) == 1, "nobody leads after every fault has ended"
+        assert not violations, violations
+        assert len(leaders) == 1, "not exactly one leader after all faults have ended"
 
 
 TestControlMachine = ControlMachine.TestCase
@@ -147,27 +150,27 @@
 
     @staticmethod
     def leader(world):
-        return next(n for n in world.nodes.values() if n.role is Role.LEADER)
+        return next(node for node in world.nodes.values() if node.role is Role.LEADER)
 
-    def test_isolated_member_does_not_disturb(self):
-        """A member cut off for long returns without raising the term."""
+    def test_isolated_member_does_not_raise_term(self):
+        """A member that was isolated for minutes does not raise the term on return."""
 
         async def scenario(world):
             leader = self.leader(world)
-            lonely = next(name for name in world.names if name != leader.name)
-            others = [name for name in world.names if name != lonely]
-            world.network.cut = {frozenset((lonely, name)) for name in others}
+            isolated = next(name for name in world.names if name != leader.name)
+            others = [name for name in world.names if name != isolated]
+            world.network.cut = {frozenset((isolated, name)) for name in others}
             term = leader.term
             await asyncio.sleep(900)
             world.network.cut.clear()
             await asyncio.sleep(5)
-            self.assertEqual(world.nodes[lonely].term, term)
+            self.assertEqual(world.nodes[isolated].term, term)
             self.assertIs(leader.role, Role.LEADER)
 
         self.run_world(scenario)
 
-    def test_leader_without_quorum_refuses(self):
-        """A leader that is cut off stops leading, and accepts nothing."""
+    def test_leader_without_quorum_steps_down(self):
+        """An isolated leader steps down, and another member leads."""
 
         async def scenario(world):
             leader = self.leader(world)
@@ -175,13 +178,13 @@
             world.apply(1, "x")
             await asyncio.sleep(5)
             self.assertIsNot(leader.role, Role.LEADER)
-            new = self.leader(world)
-            self.assertNotEqual(new.name, leader.name)
+            new_leader = self.leader(world)
+            self.assertNotEqual(new_leader.name, leader.name)
 
         self.run_world(scenario)
 
-    def test_full_disk_refuses_and_serves_on(self):
-        """While the leader's disk is full a change is refused and nothing is lost."""
+    def test_rejects_change_while_disk_is_full(self):
+        """A change is rejected while the leader's disk is full, and none is lost."""
 
         async def scenario(world):
             world.apply(1, "before")
@@ -200,7 +203,7 @@
         self.run_world(scenario)
 
     def test_late_member_catches_up_by_snapshot(self):
-        """A member that missed hundreds of changes ends in the same state."""
+        """A member that missed hundreds of changes reaches the same state."""
 
         async def scenario(world):
             await world.kill("control-2")
@@ -220,20 +223,20 @@
         with mock.patch("os.fsync"):
             self.run_world(scenario)
 
-    def test_failed_candidacy_does_not_hold_up_others(self):
-        """A member that has just stood in vain still votes for a better log."""
+    def test_failed_candidate_votes_for_newer_log(self):
+        """A member that just lost an election grants a pre-vote to a newer log."""
 
         async def scenario(world):
             leader = self.leader(world)
-            voter, better = (n for n in world.names if n != leader.name)
+            voter, candidate_name = (n for n in world.names if n != leader.name)
             await world.kill(leader.name)
-            world.network.cut = {frozenset((voter, better))}
+            world.network.cut = {frozenset((voter, candidate_name))}
             await asyncio.sleep(2)
             node = world.nodes[voter]
-            await node._stand()
+            await node._run_election()
             request = VoteRequest(
                 term=node.term + 1,
-                candidate=better,
+                candidate=candidate_name,
                 last_index=node.last_index + 1,
                 last_term=node.term,
                 pre_vote=True,
@@ -242,56 +245,58 @@
 
         self.run_world(scenario)
 
-    def test_votes_are_asked_for_in_the_order_of_the_members(self):
-        """Which member is asked first does not depend on addresses in memory."""
-        asked = []
+    def test_requests_votes_in_order_of_members(self):
+        """The order of vote requests does not depend on addresses in memory."""
+        requested_names = []
 
         def connect(name):
             async def vote(request):
-                asked.append(name)
+                requested_names.append(name)
                 raise UnavailableError(name)
 
             return PeerCalls(vote, vote, vote)
 
-        async def stand(folder):
+        async def run_election(folder):
             peers = {name: connect(name) for name in names[1:]}
             storage = LogStorage(folder)
             node = RaftNode(names[0], ControlSettings("x"), storage, peers, lambda: 0.0)
-            await node._stand()
+            await node._run_election()
             storage.close()
 
         names = [f"control-{number}" for number in range(9)]
         with tempfile.TemporaryDirectory() as folder:
-            asyncio.run(stand(folder))
-        self.assertEqual(asked, names[1:])
+            asyncio.run(run_election(folder))
+        self.assertEqual(requested_names, names[1:])
 
-    def test_oracle_sees_votes_from_a_lost_disk(self):
-        """If a lost disk voted as if it were whole, a change could be lost."""
+    def test_detects_votes_from_lost_disk(self):
+        """Two lost disks elect no leader; without the rules for lost disks, they do."""
 
         async def scenario(world):
             leader = self.leader(world)
-            behind, helper = (n for n in world.names if n != leader.name)
-            await world.kill(behind)
-            world.lose_disk(behind)
+            first_lost, second_lost = (n for n in world.names if n != leader.name)
+            await world.kill(first_lost)
+            world.lose_disk(first_lost)
             world.apply(1, "x")
             await asyncio.sleep(1)
-            await world.kill(helper)
-            world.lose_disk(helper)
+            await world.kill(second_lost)
+            world.lose_disk(second_lost)
             await world.kill(leader.name)
-            await world.start(behind)
-            await world.start(helper)
+            await world.start(first_lost)
+            await world.start(second_lost)
             await asyncio.sleep(5)
             return [n for n in world.nodes.values() if n.role is Role.LEADER]
 
         self.assertEqual(self.run_world(scenario), [])
-        weakened = mock.patch.object(
+        unchecked_votes = mock.patch.object(
             Ballot,
             "would_vote",
             lambda _, request, end: (request.last_term, request.last_index) >= end,
         )
-        majority = mock.patch.object(Ballot, "enable_voting", lambda *_: None)
-        recovered = mock.patch.object(
+        unchanged_vote_right = mock.patch.object(
+            Ballot, "enable_voting", lambda *_: None
+        )
+        plain_majority = mock.patch.object(
             RaftNode, "_votes_needed", property(lambda node: node._majority)
         )
-        with weakened, majority, recovered:
+        with unchecked_votes, unchanged_vote_right, plain_majority:
             self.assertTrue(self.run_world(scenario))
