--- a/src/agatethread/control/_raft.py
+++ b/src/agatethread/control/_raft.py
@@ -532,7 +532,7 @@
         self.commit_index = index
         self._compact()
         try:
-            self._storage.save_commit(index)
+            self._storage.save_commit_index(index)
         except DiskFullError as error:
             log.warning(Event.COMMIT_NOT_SAVED, error=str(error))
         self._notify_listeners()
@@ -687,7 +687,7 @@
         DiskFullError
             If it could not be synced.
         """
-        self._storage.sync_commit()
+        self._storage.sync_commit_index()
 
     def silence_s(self, name: str) -> float:
         """Return the time since a member last answered this leader.
--- a/src/agatethread/control/_replication.py
+++ b/src/agatethread/control/_replication.py
@@ -1,4 +1,4 @@
-"""The log's calls as other control instances make them."""
+"""gRPC service for the log's calls from other control instances."""
 
 from collections.abc import Callable
 
@@ -23,15 +23,14 @@
 
 
 class ReplicationServicer(control_pb2_grpc.ReplicationServicer):
-    """Hands calls to the member that they are meant for.
+    """Forwards calls to this member of the log.
 
     Parameters
     ----------
     node : RaftNode
-        The member.
+        This member.
     on_join : callable, optional
-        Called with each instance that wants to take part; returns whether this member
-        leads.
+        Called with each instance that asks to join; returns whether this member leads.
     """
 
     def __init__(
@@ -40,9 +39,9 @@
         self._node = node
         self._on_join = on_join
 
-    async def _answer(self, handler, request, context: grpc.aio.ServicerContext):
+    async def _handle(self, handler, request, context: grpc.aio.ServicerContext):
         if request.receiver and request.receiver != self._node.name:
-            # The member that is meant was here before its disk was lost.
+            # Meant for the member that was here before its disk was lost.
             await context.abort(grpc.StatusCode.NOT_FOUND, self._node.name)
         try:
             return handler(request)
@@ -53,24 +52,24 @@
     async def Vote(  # noqa: N802
         self, request: VoteRequest, context: grpc.aio.ServicerContext
     ) -> VoteReply:
-        """Answer a candidate."""
-        return await self._answer(self._node.on_vote, request, context)
+        """Handle a candidate's request for a vote."""
+        return await self._handle(self._node.on_vote, request, context)
 
     async def Append(  # noqa: N802
         self, request: AppendRequest, context: grpc.aio.ServicerContext
     ) -> AppendReply:
-        """Take a leader's entries."""
-        return await self._answer(self._node.on_append, request, context)
+        """Store a leader's entries."""
+        return await self._handle(self._node.on_append, request, context)
 
     async def InstallSnapshot(  # noqa: N802
         self, request: SnapshotRequest, context: grpc.aio.ServicerContext
     ) -> AppendReply:
-        """Take a leader's snapshot."""
-        return await self._answer(self._node.on_snapshot, request, context)
+        """Store a leader's snapshot."""
+        return await self._handle(self._node.on_snapshot, request, context)
 
     async def Join(  # noqa: N802
         self, request: JoinRequest, context: grpc.aio.ServicerContext
     ) -> JoinReply:
-        """Note that an instance wants to take part."""
+        """Handle an instance's request to join."""
         accepted = self._on_join is not None and self._on_join(request.member)
         return JoinReply(accepted=accepted)
--- a/src/agatethread/control/_roles.py
+++ b/src/agatethread/control/_roles.py
@@ -1,4 +1,4 @@
-"""What a member of the log is, and how it calls the others."""
+"""Roles of a member of the log, and its calls to other members."""
 
 import enum
 from collections.abc import Awaitable, Callable
@@ -15,7 +15,7 @@
 
 
 class Role(enum.Enum):
-    """What an instance is in its term."""
+    """Role of a member in its term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
@@ -30,7 +30,7 @@
     vote, append, install_snapshot : callable
         Send the request and return the reply; raise `UnavailableError`.
     join : callable, optional
-        The same, where members may join.
+        As above, if members may join.
     """
 
     def __init__(
--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -1,8 +1,8 @@
-"""A control instance that keeps a routing table and hears backend servers report.
+"""A control instance with a routing table and a registry of backend servers.
 
-The table is agreed in the log and survives. The reports are soft state: every control
-instance takes them, with or without a quorum, and tells all others and all entry
-instances in sight.
+The table is replicated in the log and durable. Reports are soft state: every control
+instance accepts them, with or without a quorum, and sends them to all reachable control
+and entry instances.
 """
 
 import asyncio
@@ -54,27 +54,27 @@
 _DISPATCHERS_INTERVAL_S = 0.2
 _QUALITY_INTERVAL_S = 0.1
 _MEMBERS_INTERVAL_S = 0.25
-_REMEMBER_INTERVAL_S = 0.5
-#: Reporting intervals after which every backend server that lives has reported here.
-_SETTLED_INTERVALS = 1.5
-#: An acknowledgement of a report waits so long for the others to have it; its sender
-#: waits for a second.
-_SPREAD_LIMIT_S = 0.4
-#: Without a leader's heartbeat for so long, a newer table may have been agreed.
-_LED_S = 1.0
-#: Module that is loaded only when the rest serves already.
+_HINTS_INTERVAL_S = 0.5
+#: After so many report intervals every live backend server has reported here.
+_SETTLED_INTERVAL_COUNT = 1.5
+#: Longest wait for the other control instances before an acknowledgement of a drain or
+#: end; below the sender's timeout of one second.
+_SPREAD_TIMEOUT_S = 0.4
+#: Without contact to a leader for longer, a newer table may have been committed.
+_LEADER_TIMEOUT_S = 1.0
+#: Loaded only after the registry serves, since it loads gRPC.
 _LOG_PORT_MODULE = "agatethread.control._log_port"
 
 log = make_logger("control")
 
 
 class RoutingControl(Service):
-    """Keeps the routing table and the registry of backend servers.
+    """Maintains the routing table and the registry of backend servers.
 
     Parameters
     ----------
     settings : RoutingControlSettings
-        Its settings.
+        Settings of the instance.
     counters : Counters
         The process's counters.
     """
@@ -86,9 +86,9 @@
         self.timers = self.add_dependency(TimerService())
         self.node: RaftNode | None = None
         self._log_port: LogPort | None = None
-        self._keeper: MemberKeeper | None = None
+        self._membership: MemberKeeper | None = None
         self._hints: HintSaver | None = None
-        self._offered_version = 0
+        self._published_version = 0
         self._started_s = self.timers.now_s()
         self._registry_port = parse_address(settings.registry)[1]
         self._target_port = parse_address(settings.target)[1]
@@ -115,7 +115,7 @@
             self._transport.send,
             now_s,
             self._is_settled,
-            self._hears_leader,
+            self._has_leader_contact,
         )
         self._dispatchers = DispatcherDirectory(
             settings.failure_domain,
@@ -126,14 +126,14 @@
         )
         self.quality: QualityKeeper | None = None
         if settings.parts.judges_answers:
-            self.quality = self._make_quality()
+            self.quality = self._make_quality_keeper()
         self._evacuations = EvacuationPublisher(
             self.hub.in_sight, self._transport.send, now_s
         )
         self.subscription = Subscription(
             settings.failure_domain,
             True,
-            [self._registry_of(seed.target) for seed in settings.seeds],
+            [self._get_registry_address(seed.target) for seed in settings.seeds],
             pack_address(parse_address(settings.registry)),
             self._transport.send,
             now_s,
@@ -146,7 +146,7 @@
         self.subscription.on_number = self._on_number
         self.hub.list_hubs = self.subscription.live
 
-    def _make_quality(self) -> QualityKeeper:
+    def _make_quality_keeper(self) -> QualityKeeper:
         return QualityKeeper(
             self.settings.failure_domain,
             lambda: (run for _, run in self.runs.changes_after(0, False)),
@@ -157,17 +157,15 @@
             self.counters,
         )
 
-    def _registry_of(self, target: str) -> bytes:
+    def _get_registry_address(self, target: str) -> bytes:
         return pack_address((parse_address(target)[0], self._registry_port))
 
-    def _target_of(self, registry: bytes) -> str:
+    def _get_log_target(self, registry: bytes) -> str:
         host, _ = unpack_address(registry)
         return format_address((host, self._target_port))
 
-    # -- start and stop -----------------------------------------------------------
-
     async def on_start(self) -> None:
-        """Listen, and open the log as soon as the disk allows."""
+        """Start the registry and the timers, and begin to open the log."""
         policies = self.settings.policies
         hints = Hints()
         if policies.keeps_hints:
@@ -196,7 +194,7 @@
             self.add_future,
             policies.keeps_hints,
         )
-        self.timers.subscribe(_REMEMBER_INTERVAL_S, self._hints.save)
+        self.timers.subscribe(_HINTS_INTERVAL_S, self._hints.save)
         self.timers.subscribe(_MEMBERS_INTERVAL_S, self._manage_members)
         self.subscription.poll()
         self.add_future(self._open_log())
@@ -208,17 +206,17 @@
         )
         if node is None:
             return
-        # What the disk holds is served at once; the rest takes some time to load.
-        node.subscribe(lambda: self._offer(node))
-        self._offer(node)
+        # The state on disk is published before the module with gRPC is loaded.
+        node.subscribe(lambda: self._publish_state(node))
+        self._publish_state(node)
         module = await asyncio.to_thread(importlib.import_module, _LOG_PORT_MODULE)
         if self.should_stop:
-            # `on_stop` has been; a server that starts now would never be stopped.
+            # `on_stop` has run already and would not stop a server started now.
             return
         self._log_port = port = module.LogPort(self.settings)
-        self._keeper = self._make_keeper(node, port)
+        self._membership = self._make_membership(node, port)
         target = listen_address(self.settings.target, self.settings.listen_host)
-        await port.serve(node, self._keeper.on_join, target)
+        await port.serve(node, self._membership.on_join, target)
         self.node = node
         await self.add_runtime_dependency(node)
         log_opened(node)
@@ -233,7 +231,7 @@
             connect=lambda member: self._log_port.connect(member.target),
         )
 
-    def _make_keeper(self, node: RaftNode, port: "LogPort") -> MemberKeeper:
+    def _make_membership(self, node: RaftNode, port: "LogPort") -> MemberKeeper:
         settings = self.settings
         address = ControlMember(
             target=settings.target,
@@ -244,100 +242,98 @@
             node,
             address,
             settings.voter_count,
-            lambda: [self._target_of(one.address) for one in self.subscription.live()],
+            lambda: [
+                self._get_log_target(link.address) for link in self.subscription.live()
+            ],
             port.connect,
             self.timers.now_s,
             self.add_future,
         )
 
     def _manage_members(self) -> None:
-        if self._keeper is not None and self.node is not None:
-            self._keeper.ask_to_join()
-            self._keeper.manage()
+        if self._membership is not None and self.node is not None:
+            self._membership.ask_to_join()
+            self._membership.manage()
 
     async def leave(self) -> None:
-        """Stop gracefully: the others take over by themselves."""
+        """Log the stop; the other control instances need no notice."""
         leads = self.node is not None and self.node.role is Role.LEADER
         log.info(Event.LEAVING, leads=leads)
 
     async def on_stop(self) -> None:
-        """Stop listening."""
+        """Close the log's port and the registry, and finish a pending write."""
         if self._log_port is not None:
             await self._log_port.close()
         if self._hints is not None:
             await self._hints.wait_for_write()
         self._transport.close()
 
-    # -- the routing table --------------------------------------------------------
-
-    def _offer(self, node: RaftNode) -> None:
+    def _publish_state(self, node: RaftNode) -> None:
         routes, evacuations = node.documents.routes, node.documents.evacuations
-        has_new = self._evacuations.offer(evacuations)
-        if routes.version <= self._offered_version and not has_new:
+        has_new_evacuations = self._evacuations.offer(evacuations)
+        if routes.version <= self._published_version and not has_new_evacuations:
             return
         if not routes.version:
             return
-        self._offered_version = routes.version
+        self._published_version = routes.version
         self.runs.services = frozenset(RoutingTable.FromString(routes.table).services)
         compressed = zlib.compress(routes.table)
         self.hub.offer_routes(
             RoutesOffer(routes.version, compressed, self._evacuations.newest)
         )
 
-    # -- backend servers ----------------------------------------------------------
-
     async def report(self, report: Report) -> None:
-        """Take a report; when this returns, it may be acknowledged.
+        """Store a report; it may be acknowledged when this returns.
 
         Parameters
         ----------
         report : Report
-            The report.
+            Report of a backend server.
 
         Raises
         ------
         ReportRefusedError
-            If another writer sent it.
+            If the report is from another writer.
         """
         if self.runs.report(report):
             await self._spread("report", report.id, report.draining)
 
     async def end_run(self, run_id: str, started_ms: int) -> None:
-        """Note that a run has ended; when this returns, it may be acknowledged.
+        """Store the end of a run; it may be acknowledged when this returns.
 
         Parameters
         ----------
         run_id : str
-            Its id.
+            Id of the run.
         started_ms : int
-            When it started; `START_NOT_TOLD` if that was not said.
+            Start of the run; `START_NOT_TOLD` if unknown.
 
         Raises
         ------
         ReportRefusedError
-            If it is not clear which run has ended.
+            If it is ambiguous which run has ended.
         """
         if self.runs.leave(run_id, started_ms):
             await self._spread("leave", run_id, True)
 
-    async def _spread(self, what: str, run_id: str, leaving: bool) -> None:
-        # What was acknowledged must not be forgotten when this process dies.
+    async def _spread(self, change_kind: str, run_id: str, leaving: bool) -> None:
+        # An acknowledged drain or end must not be lost if this process fails.
         if not leaving:
             self.hub.tell_soon()
             return
-        known = await self.hub.spread(_SPREAD_LIMIT_S)
-        if not known:
+        is_spread = await self.hub.spread(_SPREAD_TIMEOUT_S)
+        if not is_spread:
             self.counters["spread_incomplete"] += 1
-            log.warning(Event.NOT_SPREAD, what=what, run=run_id)
+            log.warning(Event.NOT_SPREAD, what=change_kind, run=run_id)
 
     def _is_settled(self) -> bool:
-        up_s = self.timers.now_s() - self._started_s
-        if up_s > _SETTLED_INTERVALS * self.settings.report_interval_s:
+        uptime_s = self.timers.now_s() - self._started_s
+        if uptime_s > _SETTLED_INTERVAL_COUNT * self.settings.report_interval_s:
             return True
         return self.subscription.is_complete()
 
-    def _hears_leader(self) -> bool:
-        return self.node is not None and self.node.leader_silence_s < _LED_S
+    def _has_leader_contact(self) -> bool:
+        return self.node is not None and self.node.leader_silence_s < _LEADER_TIMEOUT_S
 
     def _on_message(self, message: RegistryMessage, source: bytes) -> None:
         body = message.WhichOneof("body")
@@ -360,27 +356,25 @@
         if self.runs.take_number(number, sequence, starts):
             self.hub.tell_soon()
 
-    # -- state --------------------------------------------------------------------
-
     def measures(self) -> Measures:
-        """Name what this instance measures.
+        """Return the metrics of this instance.
 
         Returns
         -------
         Measures
-            Read when somebody asks for metrics.
+            Values are read when metrics are requested.
         """
         return make_measures(
             self.counters, self.runs, self.hub, lambda: self.node, self.orders.change_s
         )
 
     def dump(self) -> dict[str, Any]:
-        """Give the instance's state.
+        """Return the instance's state.
 
         Returns
         -------
         dict
-            Ready for JSON.
+            Values that JSON can hold.
         """
         dump: dict[str, Any] = {
             "instance": self.settings.name,
--- a/src/agatethread/control/_routing_settings.py
+++ b/src/agatethread/control/_routing_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a control instance that keeps a routing table."""
+"""Settings of a control instance with a routing table."""
 
 from dataclasses import dataclass, field
 
@@ -12,22 +12,21 @@
 )
 from agatethread.wire.control_pb2 import ControlMember
 
-#: Each entry is a whole table, so a snapshot takes no more of a disk than one of them.
-#: What follows it is applied at a start before entry instances get a table: 60 entries
-#: of 1,600 routes took 0.40 s of processor time, 16 take 0.04.
+#: An entry holds a whole table (of 1,600 routes, say), so a snapshot is no larger. The
+#: entries after it are applied at a start before entry instances get a table.
 DEFAULT_TIMING = ControlSettings(data_dir="", snapshot_entry_count=16)
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingControlSettings:
-    """Addresses and sizes of a control instance.
+    """Addresses, limits and policies of a control instance.
 
     Attributes
     ----------
     name : str
-        Of the instance, for logs.
+        Name of the instance, for logs.
     failure_domain : str
-        Of the instance.
+        Failure domain of the instance.
     target : str
         ``IP:port`` where other control instances reach it.
     registry : str
@@ -35,24 +34,24 @@
     api : str
         ``IP:port`` where operators reach it.
     seeds : tuple of ControlMember
-        Some control instances; at the first start the founders.
+        Some control instances; at the first start the first members.
     is_first_start : bool
         Whether the whole system starts for the first time.
     report_interval_s : float
-        Time between reports of a backend server.
+        Interval between reports of a backend server.
     losses_borne : int
-        Control instances whose loss at the same time has to be borne.
+        Number of control instances whose simultaneous loss must be tolerated.
     data_dir : str
-        Folder on a disk.
+        Data folder.
     listen_host : str, optional
-        IP number to listen at for other instances, where something in between forwards
-        what they send to the advertised one.
+        IP address to listen at, if other instances' traffic to the advertised one is
+        forwarded to it.
     timing : ControlSettings, optional
         Timing of the log; its folder and members are not used.
     parts : Parts, optional
-        Which parts the deployment calls for.
+        Optional parts that the deployment uses.
     policies : Policies, optional
-        What it decides by.
+        Policies of the instance.
     """
 
     name: str
@@ -73,5 +72,5 @@
 
     @property
     def voter_count(self) -> int:
-        """Voters of which a majority is left after the losses to be borne."""
+        """Number of voters that keeps a majority after the losses to be tolerated."""
         return 2 * self.losses_borne + 1
--- a/src/agatethread/control/_routing_state.py
+++ b/src/agatethread/control/_routing_state.py
@@ -1,4 +1,4 @@
-"""What a control instance shows of its state."""
+"""Metrics and dump of a control instance."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,54 +13,56 @@
     counters: Counters,
     runs: RunTable,
     hub: RegistryHub,
-    find_node: Callable[[], RaftNode | None],
+    get_node: Callable[[], RaftNode | None],
     change_s: Histogram,
 ) -> Measures:
-    """Name what a control instance measures.
+    """Return the metrics of a control instance.
 
     Parameters
     ----------
     counters : Counters
         The process's counters.
     runs : RunTable
-        The backend servers.
+        Runs of the backend servers.
     hub : RegistryHub
-        Tells the entry instances.
-    find_node : callable
-        Finds the member of the log; None while the log is not open.
+        Lists the subscribers.
+    get_node : callable
+        Returns the member of the log; None while the log is not open.
     change_s : Histogram
-        Time from a change until it was agreed.
+        Time from the request of a change until it was committed.
 
     Returns
     -------
     Measures
-        Read when somebody asks for metrics.
+        Values are read when metrics are requested.
     """
 
-    def of_log(read: Callable[[RaftNode], float]) -> Callable[[], float]:
-        def measure() -> float:
-            node = find_node()
+    def make_log_gauge(read: Callable[[RaftNode], float]) -> Callable[[], float]:
+        def read_gauge() -> float:
+            node = get_node()
             return read(node) if node is not None else 0.0
 
-        return measure
+        return read_gauge
 
     return Measures(
         counters,
         {
             "runs": lambda: float(len(runs)),
             "subscribers": lambda: float(len(hub.dump())),
-            "leads": of_log(lambda node: float(node.role is Role.LEADER)),
-            "term": of_log(lambda node: float(node.term)),
-            "commit_index": of_log(lambda node: float(node.commit_index)),
-            "leader_silent_s": of_log(lambda node: node.leader_silence_s),
-            "routes_version": of_log(lambda node: float(node.documents.routes.version)),
+            "leads": make_log_gauge(lambda node: float(node.role is Role.LEADER)),
+            "term": make_log_gauge(lambda node: float(node.term)),
+            "commit_index": make_log_gauge(lambda node: float(node.commit_index)),
+            "leader_silent_s": make_log_gauge(lambda node: node.leader_silence_s),
+            "routes_version": make_log_gauge(
+                lambda node: float(node.documents.routes.version)
+            ),
         },
         {"change_s": change_s},
     )
 
 
 def dump_log(node: RaftNode) -> dict[str, Any]:
-    """Give the state of a member of the log.
+    """Return the state of a member of the log.
 
     Parameters
     ----------
@@ -70,7 +72,7 @@
     Returns
     -------
     dict
-        Ready for JSON.
+        Values that JSON can hold.
     """
     return {
         "name": node.name,
--- a/src/agatethread/control/_state.py
+++ b/src/agatethread/control/_state.py
@@ -1,4 +1,4 @@
-"""The replicated state: documents, drains and the outcome of each change."""
+"""The replicated state: documents, routing table, drains, evacuations, outcomes."""
 
 import json
 from collections import OrderedDict
@@ -20,13 +20,13 @@
 )
 from agatethread.wire.registry_pb2 import Evacuations, RoutingTable
 
-#: Outcomes kept for resends; at 20,000 changes a day this is half a day.
-_OUTCOMES_KEPT = 10_000
-#: As long as a host name; reports of backend servers have the same limit.
-_LONGEST_NAME_BYTES = 255
-#: Far more failure domains than a fleet has (the size planned for has 7), so that an
-#: operator's script that runs wild can't fill the log's state.
-MOST_EVACUATED = 64
+#: Outcomes stored for retries; half a day at 20,000 changes a day.
+_MAX_OUTCOMES = 10_000
+#: Length of a host name; reports of backend servers have the same limit.
+_MAX_NAME_BYTES = 255
+#: Far more failure domains than a fleet has; bounds the state if a script sends orders
+#: in a loop.
+MAX_EVACUATED_DOMAINS = 64
 
 
 class DocumentState:
@@ -35,15 +35,15 @@
     def __init__(self) -> None:
         self.documents: dict[str, DocumentRecord] = {}
         self.drained: set[str] = set()
-        #: Failure domains without new work; the version is the last change's index.
+        #: Evacuated failure domains; the version is the last change's log index.
         self.evacuations = Evacuations()
-        #: The routing table, where the operator uses one in place of documents.
+        #: The routing table, if operators use one in place of documents.
         self.routes = PutRoutes()
         #: Members of the log as of the last applied entry.
         self.members = Members()
         self.last_index = 0
         self.last_term = 0
-        #: Index of the last command that changed anything.
+        #: Index of the last accepted command.
         self.change_index = 0
         self._outcomes: OrderedDict[str, Outcome] = OrderedDict()
 
@@ -53,49 +53,49 @@
         Parameters
         ----------
         index, term : int
-            Its place in the log.
+            Index and term of the entry.
         data : bytes
-            A `Command`, or nothing for a leader's first entry.
+            A serialized `Command`; empty for a leader's first entry.
 
         Returns
         -------
         Outcome
-            The outcome; for a resent change that of its first time.
+            The outcome; for a retried change the outcome of its first attempt.
         """
         self.last_index, self.last_term = index, term
         if not data:
             return Outcome(accepted=True, index=index)
 
         command = Command.FromString(data)
-        known = self._outcomes.get(command.change_id)
-        if known is not None:
-            return known
+        earlier_outcome = self._outcomes.get(command.change_id)
+        if earlier_outcome is not None:
+            return earlier_outcome
 
-        outcome = self._change(index, command)
+        outcome = self._apply_command(index, command)
         if outcome.accepted:
             self.change_index = index
         if command.change_id:
             self._outcomes[command.change_id] = outcome
-            if len(self._outcomes) > _OUTCOMES_KEPT:
+            if len(self._outcomes) > _MAX_OUTCOMES:
                 self._outcomes.popitem(last=False)
         return outcome
 
     def outcome_of(self, change_id: str) -> Outcome | None:
-        """Look up the outcome of a change that was applied before.
+        """Return the outcome of an applied change.
 
         Parameters
         ----------
         change_id : str
-            The operator's id of it.
+            The operator's id of the change.
 
         Returns
         -------
         Outcome or None
-            None if it is not known.
+            None if no outcome is stored.
         """
         return self._outcomes.get(change_id)
 
-    def _change(self, index: int, command: Command) -> Outcome:
+    def _apply_command(self, index: int, command: Command) -> Outcome:
         if command.WhichOneof("body") == "set_drain":
             return self._set_drain(index, command.set_drain)
         if command.WhichOneof("body") == "put_routes":
@@ -115,8 +115,8 @@
         domains = set(self.evacuations.failure_domains)
         if change.evacuated == (change.failure_domain in domains):
             return Outcome(accepted=True, index=index)
-        if change.evacuated and len(domains) >= MOST_EVACUATED:
-            error = f"{MOST_EVACUATED} failure domains are evacuated already"
+        if change.evacuated and len(domains) >= MAX_EVACUATED_DOMAINS:
+            error = f"{MAX_EVACUATED_DOMAINS} failure domains are evacuated already"
             return Outcome(accepted=False, error=error)
 
         domains ^= {change.failure_domain}
@@ -145,12 +145,12 @@
         return Outcome(accepted=True, index=index, current_version=put.version)
 
     def _put_routes(self, index: int, put: PutRoutes) -> Outcome:
-        # The highest version wins, whatever order they come in; the first one wins
-        # among those with the same number.
+        # The highest version wins in any order of arrival; the first change wins among
+        # equal versions.
         if put.version > self.routes.version:
             table = RoutingTable.FromString(put.table)
-            before = RoutingTable.FromString(self.routes.table)
-            keep_earlier_services(table, before)
+            current_table = RoutingTable.FromString(self.routes.table)
+            keep_earlier_services(table, current_table)
             self.routes = PutRoutes(
                 version=put.version,
                 source=put.source,
@@ -159,7 +159,7 @@
         return Outcome(accepted=True, index=index, current_version=self.routes.version)
 
     def snapshot(self) -> ControlState:
-        """Copy the state into a message.
+        """Return the state as a message.
 
         Returns
         -------
@@ -182,12 +182,12 @@
         )
 
     def restore(self, snapshot: ControlState) -> None:
-        """Take the state of a snapshot in place of this one.
+        """Replace the state by that of a snapshot.
 
         Parameters
         ----------
         snapshot : ControlState
-            What `snapshot` returned.
+            Return value of `snapshot`.
         """
         self.last_index = snapshot.last_index
         self.last_term = snapshot.last_term
@@ -206,10 +206,10 @@
 
 
 def find_name_error(failure_domain: str) -> str:
-    """Check a name that an operator gives for a failure domain.
+    """Return why a name is not valid for a failure domain.
 
-    Whether such a domain exists is not checked: a control instance that has just
-    started has not heard of all, and an order must not be lost to that.
+    The failure domain need not be known: a control instance that has just started does
+    not know all of them, and must not reject the order for that.
 
     Parameters
     ----------
@@ -219,19 +219,19 @@
     Returns
     -------
     str
-        Why no failure domain can have it, or an empty string.
+        The error, or an empty string.
     """
     if not failure_domain:
         return "a failure domain needs a name"
     if not failure_domain.isprintable() or set(failure_domain) & set(" /"):
         return "a failure domain's name holds no spaces, slashes or control characters"
-    if len(failure_domain.encode()) > _LONGEST_NAME_BYTES:
-        return f"a failure domain's name has at most {_LONGEST_NAME_BYTES} bytes"
+    if len(failure_domain.encode()) > _MAX_NAME_BYTES:
+        return f"a failure domain's name has at most {_MAX_NAME_BYTES} bytes"
     return ""
 
 
 def check_command(command: Command) -> str:
-    """Check a change before it is proposed, and add a document's compact form.
+    """Check a change before it is proposed; add the compact form to a document.
 
     Parameters
     ----------
@@ -241,7 +241,7 @@
     Returns
     -------
     str
-        What is wrong, or an empty string.
+        The error, or an empty string.
     """
     if not command.change_id:
         return "a change needs a change id"
@@ -252,7 +252,7 @@
 
     put = command.put_document
     try:
-        # Imported here: a process that keeps a routing table starts sooner without it.
+        # Imported here to shorten the start of a process with a routing table.
         from agatethread.settings import parse_document
 
         document = parse_document(put.service, put.text.decode())
--- a/src/agatethread/control/_storage.py
+++ b/src/agatethread/control/_storage.py
@@ -1,7 +1,7 @@
 """Durable term, vote, log and snapshot of one control instance.
 
-A log record is a header (length, CRC-32 of the entry, CRC-32 of these two) and the
-entry. Nothing is answered before it is synced.
+A log record is a header (length, CRC-32 of the entry, CRC-32 of these two fields) and
+the entry. Writes are synced before they are acknowledged.
 """
 
 import errno
@@ -16,40 +16,40 @@
 from agatethread.exceptions import DiskFullError, LogCorruptError
 from agatethread.wire.control_pb2 import ControlState, HardState, LogEntry
 
-_FIELDS = struct.Struct("!II")
+_HEADER_FIELDS = struct.Struct("!II")
 _CHECKSUM = struct.Struct("!I")
-HEADER_BYTES = _FIELDS.size + _CHECKSUM.size
+HEADER_BYTES = _HEADER_FIELDS.size + _CHECKSUM.size
 _LOG, _SNAPSHOT, _HARD_STATE, _COMMIT = "log", "snapshot", "hard_state", "commit"
-#: Folder that unsound files are moved to; the newest damage replaces an older one's.
+#: Folder that corrupt files are moved to; later ones replace earlier ones.
 _DAMAGED = "damaged"
 _INDEX = struct.Struct("!Q")
 
 
 @dataclass(frozen=True)
-class Recovered:
-    """What a disk held at the start."""
+class RecoveredState:
+    """State that was read from disk at the start."""
 
     hard_state: HardState
     snapshot: ControlState
     entries: list[LogEntry]
-    #: An entry that is known to have been committed; there may be later ones.
+    #: Index of a committed entry; later entries may be committed too.
     commit_index: int = 0
 
 
-def _frame(payload: bytes) -> bytes:
-    fields = _FIELDS.pack(len(payload), zlib.crc32(payload))
+def _encode_record(payload: bytes) -> bytes:
+    fields = _HEADER_FIELDS.pack(len(payload), zlib.crc32(payload))
     return fields + _CHECKSUM.pack(zlib.crc32(fields)) + payload
 
 
 def _read_header(data: bytes, offset: int) -> tuple[int, int] | None:
-    """Return the length and checksum that a sound header gives."""
-    fields = data[offset : offset + _FIELDS.size]
-    (expected,) = _CHECKSUM.unpack_from(data, offset + _FIELDS.size)
-    return _FIELDS.unpack(fields) if zlib.crc32(fields) == expected else None
+    """Return length and checksum of a header, or None if it is corrupt."""
+    fields = data[offset : offset + _HEADER_FIELDS.size]
+    (expected,) = _CHECKSUM.unpack_from(data, offset + _HEADER_FIELDS.size)
+    return _HEADER_FIELDS.unpack(fields) if zlib.crc32(fields) == expected else None
 
 
-def _unframe(data: bytes, offset: int) -> bytes | None:
-    """Return the record at an offset, or None if it is not whole and sound."""
+def _decode_record(data: bytes, offset: int) -> bytes | None:
+    """Return the record at an offset, or None if it is incomplete or corrupt."""
     start = offset + HEADER_BYTES
     if start > len(data):
         return None
@@ -64,22 +64,22 @@
 
 
 def _is_torn(data: bytes, offset: int) -> bool:
-    """Tell whether an unsound record is the last write, cut short."""
+    """Return whether a corrupt record is an incomplete last write."""
     start = offset + HEADER_BYTES
     if start > len(data):
         return True
     header = _read_header(data, offset)
     if header is None:
-        # A file may have grown before its contents were written.
+        # The file may have been extended before its contents were written.
         return not any(data[offset:])
     return start + header[0] >= len(data)
 
 
-def _parse(kind: type[Message], payload: bytes) -> Message:
+def _parse(message_type: type[Message], payload: bytes) -> Message:
     try:
-        return kind.FromString(payload)
+        return message_type.FromString(payload)
     except DecodeError:
-        raise LogCorruptError(f"not a {kind.DESCRIPTOR.name}") from None
+        raise LogCorruptError(f"record is no {message_type.DESCRIPTOR.name}") from None
 
 
 class LogStorage:
@@ -88,14 +88,14 @@
     Parameters
     ----------
     data_dir : str
-        The folder; made if missing.
+        Data folder; created if missing.
     """
 
     def __init__(self, data_dir: str):
         self._folder = Path(data_dir)
         self._folder.mkdir(parents=True, exist_ok=True)
         self._log_file = None
-        self._commit_file = None
+        self._commit_index_file = None
         self._offsets: list[int] = []
         self._size_bytes = 0
 
@@ -104,63 +104,63 @@
         """Size of the log file."""
         return self._size_bytes
 
-    def recover(self) -> Recovered:
-        """Read the disk; a torn last record is cut off.
+    def recover(self) -> RecoveredState:
+        """Read the files; an incomplete last record is deleted.
 
         Returns
         -------
-        Recovered
-            The state to start from.
+        RecoveredState
+            The state on disk.
 
         Raises
         ------
         LogCorruptError
-            If anything but the last record is unsound.
+            If anything but the last record is corrupt.
         """
         hard_state = self.read_hard_state()
-        snapshot = _parse(ControlState, self._read_whole(_SNAPSHOT))
+        snapshot = _parse(ControlState, self._read_record(_SNAPSHOT))
         entries = self._read_log()
-        # A crash between writing a snapshot and cutting the log leaves entries that
-        # the snapshot holds already.
+        # A crash between the writes of snapshot and log leaves entries that are in
+        # the snapshot already.
         entries = [entry for entry in entries if entry.index > snapshot.last_index]
-        self.rewrite(entries)
-        return Recovered(hard_state, snapshot, entries, self._read_commit())
+        self.replace_log(entries)
+        return RecoveredState(hard_state, snapshot, entries, self._read_commit_index())
 
-    def _read_commit(self) -> int:
+    def _read_commit_index(self) -> int:
         path = self._folder / _COMMIT
         if not path.exists():
             return 0
-        payload = _unframe(path.read_bytes(), 0)
-        # It is written without a sync, so it may be torn; nothing depends on it.
+        payload = _decode_record(path.read_bytes(), 0)
+        # Written without a sync, so it may be incomplete; it is only a hint.
         return _INDEX.unpack(payload)[0] if payload else 0
 
-    def sync_commit(self) -> None:
-        """Sync what `save_commit` wrote; may be called from another thread.
+    def sync_commit_index(self) -> None:
+        """Sync what `save_commit_index` wrote; may be called from another thread.
 
         Raises
         ------
         DiskFullError
             If it could not be synced.
         """
-        file = self._commit_file
+        file = self._commit_index_file
         if file is None:
             return
         try:
             os.fsync(file.fileno())
             self._sync_folder()
         except (OSError, ValueError) as error:
-            # ValueError: closed meanwhile, by the end of the process.
+            # ValueError: the file was closed meanwhile, when the process stopped.
             raise DiskFullError(str(error)) from None
 
-    def save_commit(self, index: int) -> None:
-        """Write how far the log is committed, without a sync.
+    def save_commit_index(self, index: int) -> None:
+        """Write the commit index, without a sync.
 
-        It lets a restarted instance serve what was agreed before there is a leader.
+        With it a restarted instance serves committed state before there is a leader.
 
         Parameters
         ----------
         index : int
-            The last committed entry.
+            Index of the last committed entry.
 
         Raises
         ------
@@ -168,33 +168,35 @@
             If it could not be written.
         """
         try:
-            if self._commit_file is None:
-                self._commit_file = open(self._folder / _COMMIT, "wb", buffering=0)
-            frame = _frame(_INDEX.pack(index))
-            os.pwrite(self._commit_file.fileno(), frame, 0)
+            if self._commit_index_file is None:
+                self._commit_index_file = open(
+                    self._folder / _COMMIT, "wb", buffering=0
+                )
+            record = _encode_record(_INDEX.pack(index))
+            os.pwrite(self._commit_index_file.fileno(), record, 0)
         except OSError as error:
             raise DiskFullError(str(error)) from None
 
     def read_hard_state(self) -> HardState:
-        """Read the term, the vote and the name.
+        """Return the stored term, vote and member name.
 
         Returns
         -------
         HardState
-            Empty if there is none.
+            Empty if none is stored.
 
         Raises
         ------
         LogCorruptError
-            If it is unsound.
+            If it is corrupt.
         """
-        return _parse(HardState, self._read_whole(_HARD_STATE))
+        return _parse(HardState, self._read_record(_HARD_STATE))
 
-    def _read_whole(self, name: str) -> bytes:
+    def _read_record(self, name: str) -> bytes:
         path = self._folder / name
         if not path.exists():
             return b""
-        payload = _unframe(path.read_bytes(), 0)
+        payload = _decode_record(path.read_bytes(), 0)
         if payload is None:
             raise LogCorruptError(f"{path}: checksum does not match")
         return payload
@@ -207,119 +209,123 @@
         entries: list[LogEntry] = []
         offset = 0
         while offset < len(data):
-            payload = _unframe(data, offset)
+            payload = _decode_record(data, offset)
             if payload is None:
                 if not _is_torn(data, offset):
-                    raise LogCorruptError(f"{path}: offset {offset}: wrong checksum")
+                    raise LogCorruptError(
+                        f"{path}: offset {offset}: checksum does not match"
+                    )
                 break
             try:
                 entries.append(LogEntry.FromString(payload))
             except DecodeError:
-                raise LogCorruptError(f"{path}: offset {offset}: no entry") from None
+                raise LogCorruptError(
+                    f"{path}: offset {offset}: record is no LogEntry"
+                ) from None
             offset += HEADER_BYTES + len(payload)
         return entries
 
     def save_hard_state(self, hard_state: HardState) -> None:
-        """Write the term and the vote, synced.
+        """Write and sync the term, the vote and the member name.
 
         Parameters
         ----------
         hard_state : HardState
-            What to write.
+            The new state.
 
         Raises
         ------
         DiskFullError
             If it could not be written.
         """
-        self._replace(_HARD_STATE, _frame(hard_state.SerializeToString()))
+        self._replace_file(_HARD_STATE, _encode_record(hard_state.SerializeToString()))
 
-    def save_snapshot(self, snapshot: ControlState, kept: list[LogEntry]) -> None:
-        """Write a snapshot and cut the log down to what follows it.
+    def save_snapshot(self, snapshot: ControlState, remaining: list[LogEntry]) -> None:
+        """Write a snapshot and reduce the log to the entries after it.
 
         Parameters
         ----------
         snapshot : ControlState
-            The state.
-        kept : list of LogEntry
-            Entries after it.
+            The snapshot.
+        remaining : list of LogEntry
+            Entries after the snapshot.
 
         Raises
         ------
         DiskFullError
-            If it could not be written; the old files stay.
+            If a file could not be written; its old version stays.
         """
         payload = snapshot.SerializeToString(deterministic=True)
-        self._replace(_SNAPSHOT, _frame(payload))
-        self.rewrite(kept)
+        self._replace_file(_SNAPSHOT, _encode_record(payload))
+        self.replace_log(remaining)
 
-    def rewrite(self, entries: list[LogEntry]) -> None:
-        """Replace the log.
+    def replace_log(self, entries: list[LogEntry]) -> None:
+        """Replace the log by other entries.
 
         Parameters
         ----------
         entries : list of LogEntry
-            All its entries.
+            All entries of the new log.
 
         Raises
         ------
         DiskFullError
             If it could not be written; the old log stays.
         """
-        frames = [_frame(entry.SerializeToString()) for entry in entries]
-        self._replace(_LOG, b"".join(frames))
+        records = [_encode_record(entry.SerializeToString()) for entry in entries]
+        self._replace_file(_LOG, b"".join(records))
         if self._log_file is not None:
             self._log_file.close()
         self._log_file = open(self._folder / _LOG, "ab", buffering=0)
         self._offsets = []
         self._size_bytes = 0
-        for frame in frames:
+        for record in records:
             self._offsets.append(self._size_bytes)
-            self._size_bytes += len(frame)
+            self._size_bytes += len(record)
 
     def append(self, entries: list[LogEntry]) -> None:
-        """Add entries to the log, synced.
+        """Append entries to the log and sync them.
 
         Parameters
         ----------
         entries : list of LogEntry
-            The entries.
+            The entries that follow the last one.
 
         Raises
         ------
         DiskFullError
-            If they could not be written; the log is as before.
+            If they could not be written; the log is unchanged.
         """
-        frames = [_frame(entry.SerializeToString()) for entry in entries]
-        data = b"".join(frames)
+        records = [_encode_record(entry.SerializeToString()) for entry in entries]
+        data = b"".join(records)
         try:
-            written = self._log_file.write(data)
-            if written != len(data):
+            written_bytes = self._log_file.write(data)
+            if written_bytes != len(data):
                 raise OSError(errno.ENOSPC, "short write")
             os.fsync(self._log_file.fileno())
         except OSError as error:
             os.ftruncate(self._log_file.fileno(), self._size_bytes)
             raise DiskFullError(str(error)) from None
-        for frame in frames:
+        for record in records:
             self._offsets.append(self._size_bytes)
-            self._size_bytes += len(frame)
+            self._size_bytes += len(record)
 
-    def truncate(self, keep_count: int) -> None:
-        """Drop entries from the end of the log, synced.
+    def truncate(self, remaining_count: int) -> None:
+        """Delete entries at the end of the log and sync it.
 
         Parameters
         ----------
-        keep_count : int
-            Entries to keep, from the first in the file.
+        remaining_count : int
+            Number of entries that stay, from the first in the file.
         """
-        if keep_count >= len(self._offsets):
+        if remaining_count >= len(self._offsets):
             return
-        self._size_bytes = self._offsets[keep_count]
-        del self._offsets[keep_count:]
+        self._size_bytes = self._offsets[remaining_count]
+        del self._offsets[remaining_count:]
         os.ftruncate(self._log_file.fileno(), self._size_bytes)
         os.fsync(self._log_file.fileno())
 
-    def _replace(self, name: str, data: bytes) -> None:
+    def _replace_file(self, name: str, data: bytes) -> None:
         path = self._folder / name
         temporary = path.with_suffix(".new")
         try:
@@ -340,29 +346,29 @@
             os.close(folder)
 
     def set_aside(self) -> None:
-        """Move unsound files away, so that this disk counts as one that was lost.
+        """Move the files to the folder of damaged ones, as if the disk were new.
 
         Raises
         ------
         DiskFullError
-            If they could not be moved; it may be tried again.
+            If they could not be moved; it may be called again.
         """
         self.close()
-        aside = self._folder / _DAMAGED
+        damaged_folder = self._folder / _DAMAGED
         try:
-            aside.mkdir(exist_ok=True)
-            # Hard state first: without it, what is left is not taken for a member's.
+            damaged_folder.mkdir(exist_ok=True)
+            # Hard state first: without it, remaining files don't count as a member's.
             for name in (_HARD_STATE, _SNAPSHOT, _LOG, _COMMIT):
                 path = self._folder / name
                 if path.exists():
-                    os.replace(path, aside / name)
+                    os.replace(path, damaged_folder / name)
             self._sync_folder()
         except OSError as error:
             raise DiskFullError(str(error)) from None
 
     @property
     def was_set_aside(self) -> bool:
-        """Whether this disk once held what was found unsound."""
+        """Whether files of this disk were set aside as damaged."""
         return (self._folder / _DAMAGED).exists()
 
     def close(self) -> None:
@@ -370,6 +376,6 @@
         if self._log_file is not None:
             self._log_file.close()
             self._log_file = None
-        if self._commit_file is not None:
-            self._commit_file.close()
-            self._commit_file = None
+        if self._commit_index_file is not None:
+            self._commit_index_file.close()
+            self._commit_index_file = None
--- a/src/agatethread/control/_watchers.py
+++ b/src/agatethread/control/_watchers.py
@@ -1,4 +1,4 @@
-"""Streams to entry instances: documents out, acknowledgements in."""
+"""Streams that send documents to entry instances and receive acknowledgements."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -13,36 +13,36 @@
     WatchUpdate,
 )
 
-#: Something is sent at least this often, so that silence means a cut.
+#: Longest interval between updates, so that a watcher detects a lost connection.
 _HEARTBEAT_S = 1.0
 
 
 class WatchServer:
-    """Entry instances that watch this control instance.
+    """Serves the watch streams of entry instances.
 
     Parameters
     ----------
     state : DocumentState
-        What is handed out.
+        The state to send.
     """
 
     def __init__(self, state: DocumentState):
         self._state = state
         self._watchers: dict[str, WatcherStatus] = {}
-        self._wake: set[asyncio.Event] = set()
+        self._wake_events: set[asyncio.Event] = set()
 
     def wake(self) -> None:
-        """Look for changes, after entries were applied."""
-        for event in self._wake:
+        """Make the streams send changes, after entries were applied."""
+        for event in self._wake_events:
             event.set()
 
     def statuses(self) -> list[WatcherStatus]:
-        """List the watchers, also those that went away.
+        """Return the status of all watchers, also of disconnected ones.
 
         Returns
         -------
         list of WatcherStatus
-            By name.
+            Sorted by instance name.
         """
         return [self._watchers[name] for name in sorted(self._watchers)]
 
@@ -54,28 +54,28 @@
         Parameters
         ----------
         requests : async iterator of WatchRequest
-            The watcher's greeting and acknowledgements.
+            The watcher's first request and its acknowledgements.
         context : grpc.aio.ServicerContext
             The call.
 
         Yields
         ------
         WatchUpdate
-            First all documents, then what changed.
+            First all documents, then changed ones.
         """
         first = await anext(aiter(requests), None)
         if first is None:
             return
 
-        status = self._note(first)
+        status = self._register_watcher(first)
         reader = asyncio.ensure_future(self._read_acknowledgements(requests, status))
         wake = asyncio.Event()
-        self._wake.add(wake)
+        self._wake_events.add(wake)
         try:
             async for update in self._updates(wake, reader):
                 yield update
         finally:
-            self._wake.discard(wake)
+            self._wake_events.discard(wake)
             reader.cancel()
             if self._watchers.get(first.instance) is status:
                 status.connected = False
@@ -87,8 +87,8 @@
         while not reader.done():
             wake.clear()
             update = self._update_since(sent_index)
-            # Not the state's index afterwards: what is agreed while the update is
-            # under way is not in it.
+            # Not the state's index after the yield: changes committed in the meantime
+            # are not in this update.
             sent_index = update.index
             yield update
             try:
@@ -101,12 +101,12 @@
         return WatchUpdate(
             index=self._state.change_index,
             complete=sent_index < 0,
-            documents=[_compact(r) for r in records if r.index > sent_index],
+            documents=[_compact_record(r) for r in records if r.index > sent_index],
             drained=sorted(self._state.drained),
             evacuated=self._state.evacuations.failure_domains,
         )
 
-    def _note(self, request: WatchRequest) -> WatcherStatus:
+    def _register_watcher(self, request: WatchRequest) -> WatcherStatus:
         status = WatcherStatus(
             instance=request.instance,
             failure_domain=request.failure_domain,
@@ -124,8 +124,8 @@
             status.applied_index = request.applied_index
 
 
-def _compact(record: DocumentRecord) -> DocumentRecord:
-    """Leave out what only operators read."""
+def _compact_record(record: DocumentRecord) -> DocumentRecord:
+    """Return a record without the fields that only operators read."""
     return DocumentRecord(
         service=record.service,
         version=record.version,
--- a/tests/control/test_policies.py
+++ b/tests/control/test_policies.py
@@ -13,7 +13,7 @@
 
 
 class TestRoutingControlWithout(unittest.IsolatedAsyncioTestCase):
-    """A control instance that starts again, with one policy off."""
+    """A restarted control instance with one policy disabled."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -34,43 +34,43 @@
         )
 
     async def start(self, name):
-        """Start it; return it, whom it greets, and what it calls at intervals."""
+        """Return the started instance, the greeted entries and the timer callbacks."""
         policies = switch_off(DEFAULT_POLICIES, name)
         control = RoutingControl(replace(self.settings, policies=policies), Counters())
         self.addAsyncCleanup(control.stop)
         with (
             mock.patch.object(control.hub, "greet") as greet,
             mock.patch.object(control.timers, "subscribe") as subscribe,
-            # These tests end at once, and none needs the log.
+            # The tests don't need the log.
             mock.patch.object(control, "_open_log", mock.AsyncMock()),
         ):
             await control.start()
-        greeted = [one for call in greet.call_args_list for one in call.args[0]]
+        greeted = [entry for call in greet.call_args_list for entry in call.args[0]]
         return control, greeted, [call.args[1] for call in subscribe.call_args_list]
 
-    async def test_hints(self):
-        """Without them it knows neither backend servers nor entry instances."""
+    async def test_ignores_hints_without_keeps_hints(self):
+        """Without the policy it loads neither backend servers nor entry instances."""
         control, greeted, _ = await self.start("keeps_hints")
         self.assertEqual((len(control.runs), greeted), (0, []))
 
-    async def test_greeting(self):
-        """Without it entry instances are told when they ask."""
+    async def test_sends_no_greeting_without_greets_known_entries(self):
+        """Without the policy it sends nothing to entry instances before they poll."""
         control, greeted, _ = await self.start("greets_known_entries")
         self.assertEqual((len(control.runs), greeted), (1, []))
 
-    async def test_urgent_asks(self):
-        """Without them other control instances are asked at each poll only."""
+    async def test_polls_only_without_asks_urgently(self):
+        """Without the policy no timer for urgent requests is started."""
         control, greeted, calls = await self.start("asks_urgently")
         self.assertEqual(greeted, [KnownEntry(address(9), "a")])
         self.assertNotIn(control.subscription.knock_urgently, calls)
 
-    async def test_stop_while_the_log_port_is_loaded(self):
-        """Nothing listens after a stop that came before the port was there."""
+    async def test_stop_during_log_port_load_leaves_no_listener(self):
+        """After a stop while the log port is loaded, nothing listens."""
         control = RoutingControl(replace(self.settings, seeds=()), Counters())
-        load = asyncio.to_thread
+        to_thread = asyncio.to_thread
 
         async def load_until_stopped(*arguments):
-            module = await load(*arguments)
+            module = await to_thread(*arguments)
             control._stopped.set()
             await control.on_stop()
             return module
--- a/tests/control/test_routing_control.py
+++ b/tests/control/test_routing_control.py
@@ -23,13 +23,13 @@
 
 
 def document(version, timeout_ms=1_000):
-    """A table with one route."""
+    """Return a table with one route."""
     rule = RouteRule("r-1", 1, 443, (Target("tab", 1),), timeout_ms)
     return RoutingDocument(version, ("tab",), (rule,))
 
 
 class Fleet:
-    """Control instances on loopback addresses that share their ports."""
+    """Control instances on loopback addresses with common port numbers."""
 
     def __init__(self, folder, count):
         self.folder = Path(folder)
@@ -77,22 +77,22 @@
         shutil.rmtree(self.folder / str(number))
 
     def damage_log(self, number):
-        """Change a byte of the first record of a log that has more of them."""
+        """Change a byte of the first record of a log with several records."""
         path = self.folder / str(number) / "log"
         data = bytearray(path.read_bytes())
         data[HEADER_BYTES] ^= 0xFF
         path.write_bytes(data)
 
     async def until(self, condition, limit_s=15.0):
-        """Wait until a condition of the fleet holds."""
+        """Wait until a condition holds."""
         for _ in range(int(limit_s / 0.05)):
             if condition():
                 return
             await asyncio.sleep(0.05)
-        raise AssertionError([one.dump() for one in self.running.values()])
+        raise AssertionError([control.dump() for control in self.running.values()])
 
     async def put(self, changed):
-        """Send a change to all in turn until one acknowledges it, as operators do."""
+        """Send a change to each instance in turn until one acknowledges it."""
         for _ in range(100):
             for control in list(self.running.values()):
                 try:
@@ -103,10 +103,10 @@
                 except (NotLeaderError, UnavailableError):
                     continue
             await asyncio.sleep(0.05)
-        raise AssertionError("nobody took the change")
+        raise AssertionError("no instance accepted the change")
 
     async def read(self):
-        """Read from all in turn until one is sure."""
+        """Read from each instance in turn until one returns the table."""
         for _ in range(100):
             for control in list(self.running.values()):
                 try:
@@ -114,10 +114,10 @@
                 except AgatethreadError:
                     continue
             await asyncio.sleep(0.05)
-        raise AssertionError("nobody was sure")
+        raise AssertionError("no instance returned the table")
 
     async def evacuate(self, domain, evacuated=True):
-        """Send an order to all in turn until one acknowledges it."""
+        """Send an order to each instance in turn until one acknowledges it."""
         for _ in range(200):
             for control in list(self.running.values()):
                 try:
@@ -126,22 +126,22 @@
                 except (NotLeaderError, UnavailableError):
                     continue
             await asyncio.sleep(0.05)
-        raise AssertionError("nobody took the order")
+        raise AssertionError("no instance accepted the order")
 
     def evacuated(self):
-        """Evacuated domains as each running instance would publish them."""
+        """Return the evacuated domains that each running instance has."""
         return [
-            set(one.node.documents.evacuations.failure_domains)
-            for one in self.running.values()
-            if one.node is not None
+            set(control.node.documents.evacuations.failure_domains)
+            for control in self.running.values()
+            if control.node is not None
         ]
 
     def voters(self):
-        """Voters as all of the running instances know them; None while they differ."""
+        """Return the voters that all running instances know; None while they differ."""
         views = {
-            tuple(sorted(voter_names(one.node.members)))
-            for one in self.running.values()
-            if one.node is not None
+            tuple(sorted(voter_names(control.node.members)))
+            for control in self.running.values()
+            if control.node is not None
         }
         return views.pop() if len(views) == 1 else None
 
@@ -160,8 +160,8 @@
         for number in list(fleet.running):
             await fleet.kill(number)
 
-    async def test_highest_version_wins_and_the_first_of_equals(self):
-        """Older changes and others under the same number change nothing."""
+    async def test_highest_version_wins_and_first_of_equal_ones(self):
+        """Changes with a lower or equal version have no effect."""
         fleet = await self.start_fleet()
         await fleet.put(document(7))
         await fleet.put(document(5))
@@ -171,8 +171,8 @@
             await fleet.running[0].orders.put_routes(document(9, timeout_ms=0), b"9")
         self.assertEqual(await fleet.read(), b"7")
 
-    async def test_lost_disk_comes_back_as_a_voter_and_nothing_is_lost(self):
-        """One disk after the other is lost at its old address; the table stays."""
+    async def test_replaces_each_lost_disk_without_loss(self):
+        """Each disk is lost in turn, its instance votes again, and the table stays."""
         fleet = await self.start_fleet()
         await fleet.put(document(1))
         for number in range(3):
@@ -180,23 +180,24 @@
             fleet.lose_disk(number)
             await fleet.put(document(2 + number))
             await fleet.start(number)
-            names = [fleet.running[one] for one in fleet.running]
+            running = [fleet.running[index] for index in fleet.running]
             await fleet.until(
-                lambda new=fleet.running[number]: (
-                    new.node is not None and new.node.name in (fleet.voters() or ())
+                lambda control=fleet.running[number]: (
+                    control.node is not None
+                    and control.node.name in (fleet.voters() or ())
                 )
             )
-            self.assertEqual((len(names), len(fleet.voters())), (3, 3))
+            self.assertEqual((len(running), len(fleet.voters())), (3, 3))
         self.assertEqual(await fleet.read(), b"4")
 
-    async def test_damaged_disk_is_set_aside_and_its_instance_joins_anew(self):
-        """With an unsound log, its instance comes back as a new member."""
+    async def test_instance_with_damaged_disk_joins_as_new_member(self):
+        """An instance with a corrupt log sets it aside and becomes a new member."""
         fleet = await self.start_fleet()
         for version in range(1, 5):
             await fleet.put(document(version))
         await fleet.kill(1)
         fleet.damage_log(1)
-        # Settings may still name the first start, but this disk has voted before.
+        # The settings still say first start, but this disk has voted before.
         await fleet.start(1, is_first_start=True)
         returned = fleet.running[1]
         await fleet.until(
@@ -212,17 +213,17 @@
         await fleet.put(document(9))
         self.assertEqual(await fleet.read(), b"9")
 
-    async def test_gone_instance_is_replaced_at_another_address(self):
-        """A newcomer takes the vote of one that does not come back."""
+    async def test_replaces_lost_instance_at_other_address(self):
+        """A new instance replaces a voter that does not return."""
         fleet = await self.start_fleet()
         await fleet.put(document(1))
         await fleet.kill(2)
         await fleet.start(3)
-        newcomer = fleet.running[3]
+        replacement = fleet.running[3]
         await fleet.until(
             lambda: (
-                newcomer.node is not None
-                and newcomer.node.name in (fleet.voters() or ())
+                replacement.node is not None
+                and replacement.node.name in (fleet.voters() or ())
                 and len(fleet.voters()) == 3
             )
         )
@@ -230,8 +231,8 @@
         await fleet.put(document(2))
         self.assertEqual(await fleet.read(), b"2")
 
-    async def test_table_is_served_after_all_are_restarted(self):
-        """After a restart of all, the table and the backend servers are known."""
+    async def test_keeps_state_after_restart_of_all(self):
+        """After a restart of all instances, table and backend servers are known."""
         fleet = await self.start_fleet()
         await fleet.put(document(3))
         report = Report("i-1", 1, "tab", address(1), "domain-0", 2, 1)
@@ -245,18 +246,18 @@
         self.assertEqual(await fleet.read(), b"3")
         self.assertIsNotNone(fleet.running[1].runs.find("i-1"))
 
-    async def test_evacuation_survives_the_loss_of_all_and_of_disks(self):
-        """What was acknowledged is held after each loss that is to be borne."""
+    async def test_keeps_evacuation_after_disk_loss_and_restart_of_all(self):
+        """An acknowledged evacuation survives each loss that must be tolerated."""
         fleet = await self.start_fleet()
         await fleet.put(document(1))
         await fleet.evacuate("hall-a")
         for version in range(2, 16):
-            # More than are kept before a snapshot takes their place.
+            # More entries than the log holds before a snapshot replaces them.
             await fleet.put(document(version))
         leader = next(
             number
-            for number, one in fleet.running.items()
-            if not one.orders.leader_api()
+            for number, control in fleet.running.items()
+            if not control.orders.leader_api()
         )
         await fleet.kill(leader)
         fleet.lose_disk(leader)
@@ -271,22 +272,22 @@
         await fleet.evacuate("hall-a", evacuated=False)
         await fleet.until(lambda: fleet.evacuated() == [set()] * 3)
 
-    async def test_late_order_is_in_force_at_its_place_in_the_log(self):
-        """An order sent again after it was overtaken counts as a new one."""
+    async def test_repeated_order_takes_effect_again(self):
+        """An order that is sent again after a contrary one counts as a new order."""
         fleet = await self.start_fleet(1)
         await fleet.evacuate("hall-a")
         await fleet.evacuate("hall-a", evacuated=False)
         await fleet.evacuate("hall-a")
         self.assertEqual(fleet.evacuated(), [{"hall-a"}])
 
-    async def test_name_that_no_domain_can_have_is_refused(self):
-        """It never reaches the log."""
+    async def test_rejects_invalid_domain_name(self):
+        """An order with an empty failure domain is rejected."""
         fleet = await self.start_fleet(1)
         with self.assertRaises(FieldError):
             await fleet.running[0].orders.set_evacuation("", True)
 
-    async def test_minority_is_never_sure(self):
-        """An instance without the others refuses reads and changes."""
+    async def test_minority_rejects_reads_and_changes(self):
+        """An instance without a quorum rejects reads, changes and orders."""
         fleet = await self.start_fleet()
         await fleet.put(document(1))
         await fleet.kill(0)
--- a/tests/control/test_state.py
+++ b/tests/control/test_state.py
@@ -2,7 +2,7 @@
 
 from agatethread.control import DocumentState
 from agatethread.control._state import (
-    MOST_EVACUATED,
+    MAX_EVACUATED_DOMAINS,
     check_command,
     find_name_error,
 )
@@ -34,26 +34,26 @@
         index = self.state.last_index + 1
         return self.state.apply(index, 1, command.SerializeToString())
 
-    def test_equal_versions_have_one_winner(self):
-        """Of two changes with equal numbers the second is told who won."""
+    def test_rejects_second_change_with_equal_version(self):
+        """The second of two changes with equal versions gets the id of the first."""
         self.assertTrue(self.apply(put(1, "first")).accepted)
         second = self.apply(put(1, "second"))
         self.assertFalse(second.accepted)
         self.assertEqual(second.winner_change_id, "first")
         self.assertEqual(second.current_version, 1)
 
-    def test_resend_gets_the_first_outcome(self):
-        """A change sent again gets its first answer, also after a snapshot."""
+    def test_retry_returns_first_outcome(self):
+        """A retried change gets its first outcome, also after a snapshot."""
         first = self.apply(put(1, "first"))
         self.apply(put(2, "next"))
         self.assertEqual(self.apply(put(1, "first")), first)
         restored = DocumentState()
         restored.restore(self.state.snapshot())
-        again = restored.apply(9, 1, put(1, "first").SerializeToString())
-        self.assertEqual(again, first)
+        retried = restored.apply(9, 1, put(1, "first").SerializeToString())
+        self.assertEqual(retried, first)
 
-    def test_snapshot_gives_the_same_state_to_the_byte(self):
-        """Hundreds of changes, a snapshot and a restore end in equal bytes."""
+    def test_restored_snapshot_has_equal_bytes(self):
+        """A restored copy of a state after hundreds of changes has equal bytes."""
         for version in range(1, 300):
             self.apply(put(version, f"c{version}"))
             drain = SetDrain(name=f"tab-{version % 7}", draining=version % 2 == 0)
@@ -65,8 +65,8 @@
             self.state.snapshot().SerializeToString(deterministic=True),
         )
 
-    def test_document_is_kept_as_written(self):
-        """Comments and spacing of an accepted document stay."""
+    def test_stores_document_unchanged(self):
+        """Comments and white space of an accepted document are stored."""
         text = b'// ours\n{service: "tab",   version: 1}'
         document = PutDocument(service="tab", version=1, text=text)
         self.apply(Command(put_document=document, change_id="x"))
@@ -83,55 +83,55 @@
         outcome = self.state.apply(index, 1, command.SerializeToString())
         return outcome.accepted
 
-    def known(self):
-        found = self.state.evacuations
-        return found.version, list(found.failure_domains)
+    def evacuations(self):
+        evacuations = self.state.evacuations
+        return evacuations.version, list(evacuations.failure_domains)
 
-    def test_order_is_idempotent(self):
-        """An order sent again is accepted and makes no new version."""
+    def test_repeated_order_keeps_version(self):
+        """A repeated order is accepted and creates no new version."""
         for domain in ("b", "a", "b"):
             self.assertTrue(self.order(domain))
-        self.assertEqual(self.known(), (2, ["a", "b"]))
+        self.assertEqual(self.evacuations(), (2, ["a", "b"]))
         self.assertTrue(self.order("b", evacuated=False))
         self.assertTrue(self.order("b", evacuated=False))
         self.assertTrue(self.order("never-heard-of", evacuated=False))
-        self.assertEqual(self.known(), (4, ["a"]))
+        self.assertEqual(self.evacuations(), (4, ["a"]))
 
-    def test_snapshot_holds_them(self):
-        """After a restore the domain is evacuated, and under the same version."""
+    def test_snapshot_includes_evacuations(self):
+        """After a restore the domain is evacuated under the same version."""
         self.order("a")
         restored = DocumentState()
         restored.restore(self.state.snapshot())
         self.state = restored
-        self.assertEqual(self.known(), (1, ["a"]))
+        self.assertEqual(self.evacuations(), (1, ["a"]))
         self.assertTrue(self.order("a", evacuated=False))
-        self.assertEqual(self.known(), (2, []))
+        self.assertEqual(self.evacuations(), (2, []))
 
-    def test_number_is_bounded(self):
-        """Beyond the bound an order is refused, until a domain is readmitted."""
-        for number in range(MOST_EVACUATED):
+    def test_rejects_order_above_limit(self):
+        """Above the limit an order is rejected until a domain is readmitted."""
+        for number in range(MAX_EVACUATED_DOMAINS):
             self.assertTrue(self.order(f"domain-{number}"))
         self.assertFalse(self.order("one-more"))
         self.assertTrue(self.order("domain-3"))
         self.assertTrue(self.order("domain-3", evacuated=False))
         self.assertTrue(self.order("one-more"))
 
-    def test_snapshot_of_the_version_before_is_read(self):
-        """One written without evacuations has none, and the rest is there."""
-        # Written by the sources before evacuations were known.
-        written = bytes.fromhex(
+    def test_restores_snapshot_without_evacuations(self):
+        """A snapshot of a version without evacuations is restored."""
+        # Written by a version without evacuations.
+        snapshot = bytes.fromhex(
             "08021001220a0a0264311204080110022a057461622d3130023a0508071201734200"
         )
         state = DocumentState()
-        state.restore(ControlState.FromString(written))
+        state.restore(ControlState.FromString(snapshot))
         self.assertEqual((state.last_index, state.drained), (2, {"tab-1"}))
         self.assertEqual(state.routes.version, 7)
         self.assertEqual(len(state.evacuations.failure_domains), 0)
 
 
 class TestCheckCommand(unittest.TestCase):
-    def test_name_of_a_failure_domain(self):
-        """Any name that one can have is taken, whether or not one has it."""
+    def test_validates_failure_domain_name(self):
+        """Any valid name is accepted, also that of an unknown failure domain."""
         for name in ("hall-a", "køge", "x" * 255):
             self.assertEqual(find_name_error(name), "")
         for name in ("", "hall a", "a/b", "a\n", "x" * 256, "\x00"):
@@ -140,8 +140,8 @@
         command.change_id = "x"
         self.assertIn("name", check_command(command))
 
-    def test_faults_are_found_before_the_log(self):
-        """A change without id, with bad text or another name is refused."""
+    def test_rejects_invalid_change(self):
+        """A change without id, with an invalid text or another service is rejected."""
         self.assertEqual(check_command(put(1, "x")), "")
         self.assertIn("change id", check_command(put(1, "")))
         self.assertIn("version", check_command(put(0, "x")))
--- a/tests/control/test_storage.py
+++ b/tests/control/test_storage.py
@@ -8,7 +8,7 @@
 
 from agatethread.control import LogStorage
 from agatethread.control._log import ReplicatedLog
-from agatethread.control._storage import HEADER_BYTES, _frame
+from agatethread.control._storage import HEADER_BYTES, _encode_record
 from agatethread.exceptions import DiskFullError, LogCorruptError
 from agatethread.wire.control_pb2 import ControlState, HardState, LogEntry
 
@@ -39,8 +39,8 @@
 
 
 class TestSetAside(StorageCase):
-    def test_damaged_files_make_room_for_new_ones(self):
-        """What is unsound is kept apart, and the folder is as if empty, but known."""
+    def test_moves_damaged_files_and_starts_empty(self):
+        """Damaged files are moved, the log starts empty, and the disk is marked."""
         path = self.fill(5)
         data = bytearray(path.read_bytes())
         data[HEADER_BYTES] ^= 0xFF
@@ -49,15 +49,15 @@
         with self.assertRaises(LogCorruptError):
             storage.recover()
         storage.set_aside()
-        _, found = self.open()
-        self.assertEqual((found.entries, found.hard_state), ([], HardState()))
+        _, recovered = self.open()
+        self.assertEqual((recovered.entries, recovered.hard_state), ([], HardState()))
         self.assertTrue(storage.was_set_aside)
         self.assertEqual((self.folder / "damaged" / "log").read_bytes(), bytes(data))
 
-    def test_file_that_decodes_to_nothing_is_corrupt(self):
-        """A whole record that is no message of its kind is damage like any other."""
+    def test_rejects_record_of_other_type(self):
+        """A record with a valid checksum that can't be decoded counts as corrupt."""
         storage = LogStorage(str(self.folder))
-        (self.folder / "snapshot").write_bytes(_frame(b"\xff" * 9))
+        (self.folder / "snapshot").write_bytes(_encode_record(b"\xff" * 9))
         with self.assertRaises(LogCorruptError):
             storage.recover()
 
@@ -78,32 +78,34 @@
 
 
 class TestRecover(StorageCase):
-    def test_everything_synced_comes_back(self):
-        """Hard state, snapshot and the log after it come back."""
-        storage, fresh = self.open()
-        self.assertFalse(fresh.hard_state.may_vote)
+    def test_recovers_synced_state(self):
+        """Hard state, snapshot and the log after it are recovered."""
+        storage, initial = self.open()
+        self.assertFalse(initial.hard_state.may_vote)
         hard_state = HardState(term=4, voted_for="b", may_vote=True)
         storage.save_hard_state(hard_state)
         storage.append(entries(1, 5))
         storage.save_snapshot(ControlState(last_index=3, last_term=1), entries(4, 5))
         storage.append(entries(6, 6))
         storage.truncate(2)
-        _, found = self.open()
-        self.assertEqual(found.hard_state, hard_state)
-        self.assertEqual(found.snapshot.last_index, 3)
-        self.assertEqual(found.entries, entries(4, 5))
-
-    def test_torn_last_record_is_cut_off(self):
-        """Wherever the last write was torn, all before it comes back."""
-        whole = self.fill(5).read_bytes()
-        last = len(whole) - len(entries(5, 5)[0].SerializeToString()) - HEADER_BYTES
-        for size in range(last, len(whole)):
-            (self.folder / "log").write_bytes(whole[:size])
-            _, found = self.open()
-            self.assertEqual(found.entries, entries(1, 4))
-
-    def test_damaged_middle_is_refused(self):
-        """A damaged record with others behind it is an error, not a shorter log."""
+        _, recovered = self.open()
+        self.assertEqual(recovered.hard_state, hard_state)
+        self.assertEqual(recovered.snapshot.last_index, 3)
+        self.assertEqual(recovered.entries, entries(4, 5))
+
+    def test_deletes_torn_last_record(self):
+        """Wherever the last write was torn, all entries before it are recovered."""
+        log_bytes = self.fill(5).read_bytes()
+        last_offset = (
+            len(log_bytes) - len(entries(5, 5)[0].SerializeToString()) - HEADER_BYTES
+        )
+        for size in range(last_offset, len(log_bytes)):
+            (self.folder / "log").write_bytes(log_bytes[:size])
+            _, recovered = self.open()
+            self.assertEqual(recovered.entries, entries(1, 4))
+
+    def test_rejects_damage_before_other_records(self):
+        """A damaged record before others is an error, not the end of the log."""
         path = self.fill(5)
         data = bytearray(path.read_bytes())
         data[9] ^= 1
@@ -112,12 +114,12 @@
             self.open()
 
     @given(st.integers(0, 10_000), st.integers(1, 255))
-    def test_any_damage_before_the_last_record_is_refused(self, position, change):
-        """A changed byte, also of a length, never shortens the log in silence."""
+    def test_rejects_any_damage_before_last_record(self, position, change):
+        """A changed byte, also of a length, is an error, not the end of the log."""
         path = self.fill(4)
         data = bytearray(path.read_bytes())
-        last = len(entries(4, 4)[0].SerializeToString()) + HEADER_BYTES
-        data[position % (len(data) - last)] ^= change
+        last_size = len(entries(4, 4)[0].SerializeToString()) + HEADER_BYTES
+        data[position % (len(data) - last_size)] ^= change
         path.write_bytes(data)
         with self.assertRaises(LogCorruptError):
             self.open()
@@ -125,13 +127,13 @@
 
 
 class TestFullDisk(StorageCase):
-    def test_refused_write_leaves_the_log_as_it_was(self):
-        """After a write that failed, what was there stays and can be added to."""
+    def test_failed_write_leaves_log_unchanged(self):
+        """After a failed write the log is unchanged and accepts new entries."""
         storage, _ = self.open()
         storage.append(entries(1, 2))
         with mock.patch("os.fsync", side_effect=OSError(28, "No space left")):
             with self.assertRaises(DiskFullError):
                 storage.append(entries(3, 3))
         storage.append(entries(3, 4))
-        _, found = self.open()
-        self.assertEqual(found.entries, entries(1, 4))
+        _, recovered = self.open()
+        self.assertEqual(recovered.entries, entries(1, 4))
--- a/tests/control/test_watchers.py
+++ b/tests/control/test_watchers.py
@@ -11,12 +11,12 @@
 from benchmarks.virtual_time import VirtualLoop
 
 SERVICES = ("receipts", "tab")
-#: A change of a service's document, or the watcher reads what comes next.
+#: A service whose document changes, or a read of the watcher.
 STEPS = st.lists(st.sampled_from((*SERVICES, "read")), max_size=12)
 
 
 class World:
-    """One control instance, and a watcher that reads as slowly as a test wants."""
+    """A control instance and a watcher that reads when the test asks for it."""
 
     def __init__(self):
         self.state = DocumentState()
@@ -29,8 +29,8 @@
         await asyncio.Event().wait()
 
     def change(self, service):
-        known = self.state.documents.get(service)
-        version = known.version + 1 if known else 1
+        record = self.state.documents.get(service)
+        version = record.version + 1 if record else 1
         text = f'{{"service": "{service}", "version": {version}}}'.encode()
         put = PutDocument(service=service, version=version, text=text, compact=text)
         index = self.state.last_index + 1
@@ -41,15 +41,17 @@
     async def read(self):
         self.book.take(await anext(self.stream))
 
-    def versions(self):
-        return {name: one.version for name, one in self.book.documents.items()}
+    def received(self):
+        return {
+            name: document.version for name, document in self.book.documents.items()
+        }
 
-    def agreed(self):
-        return {name: one.version for name, one in self.state.documents.items()}
+    def committed(self):
+        return {name: record.version for name, record in self.state.documents.items()}
 
 
-def play(steps):
-    """Play steps and two more reads; return what the watcher has and what it should."""
+def run_steps(steps):
+    """Run steps and two more reads; return received and committed versions."""
 
     async def main():
         world = World()
@@ -59,21 +61,21 @@
             else:
                 world.change(step)
         await world.stream.aclose()
-        return world.versions(), world.agreed()
+        return world.received(), world.committed()
 
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main())
 
 
 class TestWatchHub(unittest.TestCase):
-    def test_change_while_an_update_is_under_way_is_sent(self):
-        """A document agreed between an update and the next read is in the next one."""
-        found, agreed = play(["tab", "read", "receipts"])
-        self.assertEqual(agreed, {"tab": 1, "receipts": 1})
-        self.assertEqual(found, agreed)
+    def test_sends_change_made_during_update(self):
+        """A document committed between two reads of updates is in the second one."""
+        received_versions, committed = run_steps(["tab", "read", "receipts"])
+        self.assertEqual(committed, {"tab": 1, "receipts": 1})
+        self.assertEqual(received_versions, committed)
 
     @given(STEPS)
-    def test_watcher_has_all_whenever_it_reads(self, steps):
-        """However reads and changes interleave, no document is left out."""
-        found, agreed = play(steps)
-        self.assertEqual(found, agreed)
+    def test_watcher_receives_all_documents(self, steps):
+        """However reads and changes interleave, the watcher receives all documents."""
+        received_versions, committed = run_steps(steps)
+        self.assertEqual(received_versions, committed)
