--- a/src/agatethread/control/_ballot.py
+++ b/src/agatethread/control/_ballot.py
@@ -7,7 +7,7 @@
 LogEnd = tuple[int, int]
 
 
-class Ballot:
+class VoteState:
     """Term and vote of a member; each change is written before it takes effect.
 
     Parameters
--- a/src/agatethread/control/_raft.py
+++ b/src/agatethread/control/_raft.py
@@ -9,7 +9,7 @@
 
 from mode import Service
 
-from agatethread.control._ballot import Ballot, LogEnd
+from agatethread.control._ballot import LogEnd, VoteState
 from agatethread.control._disk_health import DiskHealth
 from agatethread.control._followers import Follower, LeadershipConfirmations
 from agatethread.control._log import ReplicatedLog
@@ -111,7 +111,7 @@
 
     def _recover(self) -> None:
         recovered = self._storage.recover()
-        self._ballot = Ballot(self._storage, recovered.hard_state)
+        self._vote_state = VoteState(self._storage, recovered.hard_state)
         self.documents.restore(recovered.snapshot)
         self._log = ReplicatedLog(self._storage, recovered.snapshot, recovered.entries)
         self.commit_index = self._log.base_index
@@ -167,7 +167,7 @@
     @property
     def term(self) -> int:
         """The current term of this member."""
-        return self._ballot.term
+        return self._vote_state.term
 
     def subscribe(self, listener: Callable[[], None]) -> None:
         """Register a listener that is called after committed entries were applied.
@@ -185,7 +185,7 @@
 
     @property
     def _votes_needed(self) -> int:
-        if self._ballot.may_vote:
+        if self._vote_state.may_vote:
             return self._majority
         return len(voter_names(self.members))
 
@@ -233,7 +233,7 @@
 
         self.role = Role.CANDIDATE
         self.leader = ""
-        self._ballot.start_candidacy(self.name)
+        self._vote_state.start_candidacy(self.name)
         term = self.term
         is_elected = await self._collect_votes(term, pre_vote=False)
         is_current = self.role is Role.CANDIDATE and self.term == term
@@ -279,7 +279,7 @@
 
     def _adopt_term(self, term: int) -> None:
         if term > self.term:
-            self._ballot.adopt_term(term)
+            self._vote_state.adopt_term(term)
             self._become_follower("")
 
     def _become_follower(self, leader: str) -> None:
@@ -294,7 +294,7 @@
         self.role = Role.LEADER
         self.leader = self.name
         self._disk_health.record_success()
-        self._ballot.enable_voting()
+        self._vote_state.enable_voting()
         self._followers.clear()
         # An entry of the current term allows it to commit those of earlier terms.
         self._log.append([LogEntry(index=self.last_index + 1, term=self.term)])
@@ -334,7 +334,7 @@
 
         if request.term > self.term:
             self._adopt_term(request.term)
-        granted = self._ballot.grant_vote(request, self._log_end)
+        granted = self._vote_state.grant_vote(request, self._log_end)
         if granted:
             self._timeout_start_s = self._now_s()
         return VoteReply(term=self.term, granted=granted)
@@ -347,7 +347,7 @@
         return (
             not has_leader
             and request.term > self.term
-            and self._ballot.would_vote(request, self._log_end)
+            and self._vote_state.would_vote(request, self._log_end)
         )
 
     @property
@@ -473,7 +473,7 @@
 
         self._write_new(list(request.entries))
         match_index = request.previous_index + len(request.entries)
-        self._ballot.enable_voting()
+        self._vote_state.enable_voting()
         self._commit_to(min(request.commit_index, match_index))
         return AppendReply(term=self.term, success=True, match_index=match_index)
 
@@ -517,7 +517,7 @@
             self.commit_index = snapshot.last_index
             self._refresh_members()
             self._notify_listeners()
-        self._ballot.enable_voting()
+        self._vote_state.enable_voting()
         match_index = max(request.last_index, self.commit_index)
         return AppendReply(term=self.term, success=True, match_index=match_index)
 
--- a/src/agatethread/control/_routing_settings.py
+++ b/src/agatethread/control/_routing_settings.py
@@ -12,8 +12,8 @@
 )
 from agatethread.wire.control_pb2 import ControlMember
 
-#: An entry holds a whole table (of 1,600 routes, say), so a snapshot is no larger. The
-#: entries after it are applied at a start before entry instances get a table.
+#: Handles tables of 1,600 routes. Each entry holds a whole table, so a snapshot is no
+#: larger than one; the entries after it are applied at a start before a table is sent.
 DEFAULT_TIMING = ControlSettings(data_dir="", snapshot_entry_count=16)
 
 
--- a/tests/control/test_raft.py
+++ b/tests/control/test_raft.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from agatethread.control import LogStorage, PeerCalls, RaftNode, Role
-from agatethread.control._ballot import Ballot
+from agatethread.control._ballot import VoteState
 from agatethread.exceptions import DiskFullError, UnavailableError
 from agatethread.settings import ControlSettings
 from agatethread.wire.control_pb2 import VoteRequest
@@ -288,12 +288,12 @@
 
         self.assertEqual(self.run_world(scenario), [])
         unchecked_votes = mock.patch.object(
-            Ballot,
+            VoteState,
             "would_vote",
             lambda _, request, end: (request.last_term, request.last_index) >= end,
         )
         unchanged_vote_right = mock.patch.object(
-            Ballot, "enable_voting", lambda *_: None
+            VoteState, "enable_voting", lambda *_: None
         )
         plain_majority = mock.patch.object(
             RaftNode, "_votes_needed", property(lambda node: node._majority)
--- a/tests/control/test_storage.py
+++ b/tests/control/test_storage.py
@@ -54,7 +54,7 @@
         self.assertTrue(storage.was_set_aside)
         self.assertEqual((self.folder / "damaged" / "log").read_bytes(), bytes(data))
 
-    def test_rejects_record_of_other_type(self):
+    def test_rejects_undecodable_record(self):
         """A record with a valid checksum that can't be decoded counts as corrupt."""
         storage = LogStorage(str(self.folder))
         (self.folder / "snapshot").write_bytes(_encode_record(b"\xff" * 9))
