--- a/benchmarks/flow_ways.py
+++ b/benchmarks/flow_ways.py
@@ -133,7 +133,7 @@
                 connection_limit=flows,
                 lease_ms=600_000_000,
             )
-            self._table.hear(address, announcement, 0.0)
+            self._table.apply_announcement(address, announcement, 0.0)
             self._numbers[address] = number
             self._endpoints.append(self._table.by_address[address])
 
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -192,7 +192,7 @@
             connection_limit=1,
             lease_ms=600_000_000,
         )
-        table.hear(address, announcement, 0.0)
+        table.apply_announcement(address, announcement, 0.0)
         servers.append(table.by_address[address])
     loads = [0] * endpoints
     history: list[tuple[float, list[int]]] = []
--- a/benchmarks/fuzz_operations.py
+++ b/benchmarks/fuzz_operations.py
@@ -14,7 +14,7 @@
 from collections import Counter
 from unittest import mock
 
-from agatethread.operations import ClaimAsker, ClaimKeeper, OperationOwner
+from agatethread.operations import ClaimRequester, OperationOwner, StandbyClaims
 from benchmarks.operations_world import World
 from benchmarks.virtual_time import VirtualLoop
 
@@ -45,8 +45,8 @@
 
 #: What to replace to turn a safeguard off.
 WEAKENED = {
-    "claims": lambda: mock.patch.object(ClaimAsker, "_ask_standby", _always),
-    "fence": lambda: mock.patch.object(ClaimKeeper, "_grant", lambda *_: True),
+    "claims": lambda: mock.patch.object(ClaimRequester, "_ask_standby", _always),
+    "fence": lambda: mock.patch.object(StandbyClaims, "_grant", lambda *_: True),
     "copies": lambda: mock.patch.object(OperationOwner, "_find_copy", lambda *_: None),
 }
 
--- a/benchmarks/operations_world.py
+++ b/benchmarks/operations_world.py
@@ -19,7 +19,7 @@
 )
 from agatethread.membership import Member, MemberTable
 from agatethread.observability import Counters
-from agatethread.operations import Ports
+from agatethread.operations import InstanceCallbacks
 from agatethread.routing import EndpointTable
 from agatethread.settings import EntrySettings, ServiceDocument
 from agatethread.wire import (
@@ -66,9 +66,9 @@
         self.counters = Counters()
         book = DocumentBook()
         book.documents[SERVICE] = ServiceDocument(SERVICE, 1, ramp_s=0.0)
-        ports = Ports(
+        ports = InstanceCallbacks(
             now_s=asyncio.get_running_loop().time,
-            me=lambda: self.members.me.ref,
+            own_member=lambda: self.members.me.ref,
             is_alive=self.members.is_alive,
             send_peer=self._send_peer,
             send_backend=self._send_backend,
@@ -226,7 +226,7 @@
                 lease_ms=_LEASE_MS,
                 sequence=1,
             )
-            node.endpoints.hear(
+            node.endpoints.apply_announcement(
                 address, announcement, asyncio.get_running_loop().time()
             )
         self.nodes[node.name] = node
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -101,7 +101,7 @@
     """Fill an endpoint table."""
     table = EndpointTable()
     for number in range(count):
-        table.hear(_address(number), _announcement(number), 0.0)
+        table.apply_announcement(_address(number), _announcement(number), 0.0)
     return table
 
 
@@ -214,7 +214,7 @@
         announcement = _announcement(number)
         announcement.service = "tab"
         announcement.connection_limit = 10_000_000
-        endpoints.hear(_address(number), announcement, 0.0)
+        endpoints.apply_announcement(_address(number), announcement, 0.0)
     flows = FlowTable(10_000_000)
     placer = FlowPlacer(
         SEALER,
@@ -263,7 +263,7 @@
     def refresh() -> None:
         announcement = _announcement(5)
         announcement.sequence = next(sequence)
-        endpoints.hear(_address(5), announcement, 1.0)
+        endpoints.apply_announcement(_address(5), announcement, 1.0)
 
     services = iter(range(10_000_000))
     states = itertools.cycle((MemberState.DEAD, MemberState.ALIVE))
--- a/src/agatethread/balancing/__init__.py
+++ b/src/agatethread/balancing/__init__.py
@@ -5,13 +5,15 @@
 
 from agatethread.balancing._admission import (
     MAX_PLACEMENT_DELAY_S,
-    Verdict,
+    AdmissionDecision,
+    decide_admission,
     expected_wait_s,
-    judge_opening,
     placement_deadline_s,
 )
-from agatethread.balancing._dispatchers import choose_dispatchers, share_out
-from agatethread.balancing._fairness import CallerShares, rank_opening
+from agatethread.balancing._dispatchers import assign_servers, choose_dispatchers
+from agatethread.balancing._fair_queue import FairQueue
+from agatethread.balancing._fairness import CallerShares, apply_caller_share
+from agatethread.balancing._opening_queue import OpeningQueue
 from agatethread.balancing._pressure import PressureGauge
 from agatethread.balancing._quality import fresh_from_s, judge_service
 from agatethread.balancing._quality_records import (
@@ -23,16 +25,14 @@
     Judgement,
     Quality,
 )
-from agatethread.balancing._records import Elsewhere, GroupLoad, Opening
-from agatethread.balancing._return import RetrySchedule, choose_retry_after_s
-from agatethread.balancing._turns import FairQueue
-from agatethread.balancing._waiting import WaitingLine
+from agatethread.balancing._records import GroupLoad, Opening, PlacementAlternative
+from agatethread.balancing._retry_schedule import RetrySchedule, choose_retry_after_s
 
 __all__ = [
     "NO_ANSWERS",
     "NO_EVIDENCE",
     "MAX_PLACEMENT_DELAY_S",
-    "Elsewhere",
+    "PlacementAlternative",
     "UNJUDGED",
     "AnswerCounts",
     "Evidence",
@@ -44,15 +44,15 @@
     "PressureGauge",
     "Quality",
     "RetrySchedule",
-    "Verdict",
-    "WaitingLine",
+    "AdmissionDecision",
+    "OpeningQueue",
     "choose_dispatchers",
     "choose_retry_after_s",
     "expected_wait_s",
     "fresh_from_s",
-    "judge_opening",
+    "decide_admission",
     "judge_service",
     "placement_deadline_s",
-    "rank_opening",
-    "share_out",
+    "apply_caller_share",
+    "assign_servers",
 ]
--- a/src/agatethread/balancing/_admission.py
+++ b/src/agatethread/balancing/_admission.py
@@ -1,6 +1,6 @@
 """Admission control for openings: place, queue, hand over or refuse.
 
-Handles short and lasting demand above the total number of slots. An opening is queued
+Handles short and lasting demand above the total number of places. An opening is queued
 if it can be placed before its caller gives up; less urgent openings have more ahead of
 them and are refused first.
 """
@@ -8,7 +8,7 @@
 from enum import Enum
 from math import inf
 
-from agatethread.balancing._records import Elsewhere, GroupLoad, Opening
+from agatethread.balancing._records import GroupLoad, Opening, PlacementAlternative
 
 #: Callers resend an unanswered opening after 0.2 and 0.6 s and give the flow up after
 #: 1.4 s; this leaves time for the backend server's answer.
@@ -20,7 +20,7 @@
 _OWN_DOMAIN_MARGIN_S = 0.003
 
 
-class Verdict(Enum):
+class AdmissionDecision(Enum):
     """Admission decision for an opening."""
 
     PLACE = "place"
@@ -42,7 +42,7 @@
     Returns
     -------
     float
-        Seconds; infinity if the servers have no slots.
+        Seconds; infinity if the servers have no places.
     """
     if load.free_count > ahead_count:
         return 0.0
@@ -65,16 +65,16 @@
     float
         Time after which its caller has given up.
     """
-    return opening.asked_s + min(MAX_PLACEMENT_DELAY_S, opening.timeout_s)
+    return opening.requested_s + min(MAX_PLACEMENT_DELAY_S, opening.timeout_s)
 
 
-def judge_opening(
+def decide_admission(
     opening: Opening,
     load: GroupLoad,
     ahead_count: int,
     now_s: float,
-    alternative: Elsewhere | None = None,
-) -> Verdict:
+    alternative: PlacementAlternative | None = None,
+) -> AdmissionDecision:
     """Return the admission decision for an opening.
 
     Parameters
@@ -87,23 +87,23 @@
         Openings queued for the same servers that are placed first.
     now_s : float
         Current time.
-    alternative : Elsewhere or None, optional
+    alternative : PlacementAlternative or None, optional
         Another instance that may place it; None if there is none.
 
     Returns
     -------
-    Verdict
-        Never a refusal while a slot is free.
+    AdmissionDecision
+        Never a refusal while a place is free.
     """
     if load.free_count > ahead_count:
-        return Verdict.PLACE
+        return AdmissionDecision.PLACE
     wait_s = expected_wait_s(load, ahead_count)
     if alternative is not None:
         margin_s = (
             _OTHER_DOMAIN_MARGIN_S if alternative.crosses else _OWN_DOMAIN_MARGIN_S
         )
         if (alternative.wait_s or 0.0) + margin_s < wait_s:
-            return Verdict.HAND_OVER
+            return AdmissionDecision.HAND_OVER
     if now_s + wait_s <= placement_deadline_s(opening):
-        return Verdict.WAIT
-    return Verdict.REFUSE
+        return AdmissionDecision.WAIT
+    return AdmissionDecision.REFUSE
--- a/src/agatethread/balancing/_dispatchers.py
+++ b/src/agatethread/balancing/_dispatchers.py
@@ -44,7 +44,7 @@
     return tuple(ranked[:count])
 
 
-def share_out(
+def assign_servers(
     server_ids: Sequence[int], dispatchers: Sequence[bytes]
 ) -> dict[bytes, tuple[int, ...]]:
     """Return the backend servers assigned to each dispatcher.
--- a/src/agatethread/balancing/_fairness.py
+++ b/src/agatethread/balancing/_fairness.py
@@ -1,8 +1,8 @@
 """Fair sharing of placements among callers.
 
-Handles a caller that opens many times as many flows as the others while slots are
+Handles a caller that opens many times as many flows as the others while places are
 scarce: its openings are queued behind those of all other callers until it is within its
-share again. No opening is refused for this while a slot is free.
+share again. No opening is refused for this while a place is free.
 
 A caller is what the data path distinguishes: a source address or a client account.
 Programs that share an address count as one caller.
@@ -84,7 +84,7 @@
     def __len__(self) -> int:
         return len(self._current.rows) + len(self._previous.rows)
 
-    def note(self, caller: int, now_s: float) -> None:
+    def record(self, caller: int, now_s: float) -> None:
         """Count an opening that was placed or queued.
 
         Parameters
@@ -115,7 +115,7 @@
         self._advance_windows(now_s)
         return self._current.rows.get(caller, 0) + self._previous.rows.get(caller, 0)
 
-    def is_over(self, caller: int, now_s: float) -> bool:
+    def exceeds_share(self, caller: int, now_s: float) -> bool:
         """Return whether a caller exceeds its share.
 
         Parameters
@@ -155,16 +155,18 @@
         return previous.caller_count + current.new_count
 
 
-def rank_opening(opening: Opening, is_over: bool, waiting_count: int) -> Opening:
+def apply_caller_share(
+    opening: Opening, exceeds_share: bool, waiting_count: int
+) -> Opening:
     """Return an opening, ranked last if its caller exceeds its share.
 
-    Handles a caller that opens many more flows than others while slots are scarce.
+    Handles a caller that opens many more flows than others while places are scarce.
 
     Parameters
     ----------
     opening : Opening
         The opening.
-    is_over : bool
+    exceeds_share : bool
         Whether its caller exceeds its share.
     waiting_count : int
         Other openings that are queued for the same servers.
@@ -175,6 +177,6 @@
         A copy that is queued behind all others; the opening itself if its caller is
         within its share or no other opening is queued.
     """
-    if not is_over or not waiting_count:
+    if not exceeds_share or not waiting_count:
         return opening
-    return replace(opening, is_behind=True)
+    return replace(opening, is_deferred=True)
--- a/src/agatethread/balancing/_waiting.py
+++ b/src/agatethread/balancing/_opening_queue.py
@@ -1,6 +1,6 @@
-"""Priority queue of openings that wait for a slot.
+"""Priority queue of openings that wait for a place.
 
-Handles short periods with more openings than slots. More urgent openings go first.
+Handles short periods with more openings than places. More urgent openings go first.
 Within a rank, openings that can still meet their aim go before late ones, in order of
 due time, so that a lasting burst does not make all of them late.
 """
@@ -17,7 +17,7 @@
 
 T = TypeVar("T")
 
-#: Every n-th slot goes to the less urgent rank whose first opening has waited longest,
+#: Every n-th place goes to the less urgent rank whose first opening has waited longest,
 #: to prevent starvation.
 _RESERVED_SLOT_INTERVAL = 8
 #: More than a dispatcher can place within the maximum placement delay.
@@ -55,7 +55,8 @@
             heappop(self.in_time)
             if not waiter.is_removed:
                 heappush(
-                    self.late, (waiter.opening.asked_s, next(sequence_numbers), waiter)
+                    self.late,
+                    (waiter.opening.requested_s, next(sequence_numbers), waiter),
                 )
         while self.late:
             waiter = self.late[0][2]
@@ -74,7 +75,7 @@
             heapify(heap)
 
 
-class WaitingLine(Generic[T]):
+class OpeningQueue(Generic[T]):
     """Bounded priority queue of openings.
 
     Parameters
@@ -124,12 +125,12 @@
         self._by_key[key] = waiter
         rank_queue = self._rank_queues.setdefault(opening.rank, _RankQueue())
         rank_queue.waiting_count += 1
-        due_s = opening.asked_s + opening.aim_s
+        due_s = opening.requested_s + opening.aim_s
         heappush(rank_queue.in_time, (due_s, next(self._sequence_numbers), waiter))
         return True
 
     def pop(self, now_s: float) -> T | None:
-        """Remove and return the opening that gets the next slot.
+        """Remove and return the opening that gets the next place.
 
         Parameters
         ----------
@@ -150,14 +151,14 @@
         if not first_waiters:
             return None
         chosen = first_waiters[0]
-        # Reserved slots are for less urgent openings, not for callers over their share.
+        # Reserved places go to less urgent openings, not to callers over their share.
         less_urgent = [
             waiter
             for waiter in first_waiters[1:]
             if waiter.opening.rank < DEFERRED_RANK
         ]
         if self._pop_count % _RESERVED_SLOT_INTERVAL == 0 and less_urgent:
-            chosen = min(less_urgent, key=lambda waiter: waiter.opening.asked_s)
+            chosen = min(less_urgent, key=lambda waiter: waiter.opening.requested_s)
         self._remove(chosen)
         return chosen.item
 
@@ -167,7 +168,7 @@
             waiter = self._rank_queues[rank].find_first(now_s, self._sequence_numbers)
             if waiter is None or waiter.deadline_s >= now_s:
                 return waiter
-            # Skip the expired waiter; `take_expired` returns it later.
+            # Skip the expired waiter; `pop_expired` returns it later.
             waiter.is_removed = True
 
     def _remove(self, waiter: _Waiter[T]) -> None:
@@ -194,7 +195,7 @@
         self._remove(waiter)
         return True
 
-    def take_expired(self, now_s: float) -> list[T]:
+    def pop_expired(self, now_s: float) -> list[T]:
         """Remove and return the openings whose callers have given up.
 
         Parameters
@@ -235,7 +236,7 @@
             if other_rank <= rank
         )
 
-    def oldest_s(self) -> float:
+    def oldest_request_s(self) -> float:
         """Return the request time of the opening that has waited longest.
 
         Returns
@@ -243,5 +244,5 @@
         float
             Infinity if the queue is empty.
         """
-        asked_s = (waiter.opening.asked_s for waiter in self._by_key.values())
-        return min(asked_s, default=inf)
+        requested_s = (waiter.opening.requested_s for waiter in self._by_key.values())
+        return min(requested_s, default=inf)
--- a/src/agatethread/balancing/_quality.py
+++ b/src/agatethread/balancing/_quality.py
@@ -165,7 +165,7 @@
     if evidence.domains > 1 and evidence.bad_domains < _MIN_BAD_DOMAINS:
         # Other failure domains get good answers: the network path is at fault.
         return 1.0
-    windows = (evidence.recent, evidence.whole)
+    windows = (evidence.recent, evidence.window)
     if only_fresh:
         windows = (evidence.fresh,)
     return min(binomial_tail(window.bad, window.answers, share) for window in windows)
@@ -219,12 +219,12 @@
     weight = _weight_of(quality, now_s - since_s)
     if quality is Quality.EJECTED and _needs_trials(evidence):
         weight = TRIAL_WEIGHT
-    last_answer_s = now_s if evidence.whole.answers else previous.seen_s
+    last_answer_s = now_s if evidence.window.answers else previous.last_answer_s
     return Judgement(quality, weight, since_s, last_answer_s, chance)
 
 
 def _needs_trials(evidence: Evidence) -> bool:
-    return evidence.whole.answers < _MIN_ANSWERS_WITHOUT_TRIALS
+    return evidence.window.answers < _MIN_ANSWERS_WITHOUT_TRIALS
 
 
 def _is_cleared(judged: Judgement, now_s: float) -> bool:
@@ -275,7 +275,9 @@
     if now_s - previous.since_s < _MIN_EJECTION_S:
         return Quality.EJECTED
     has_recovered = evidence.good_since_bad >= _MIN_GOOD_BEFORE_PROBATION
-    is_unobserved = now_s - max(previous.seen_s, previous.since_s) >= _MAX_UNOBSERVED_S
+    is_unobserved = (
+        now_s - max(previous.last_answer_s, previous.since_s) >= _MAX_UNOBSERVED_S
+    )
     return Quality.ON_PROBATION if has_recovered or is_unobserved else Quality.EJECTED
 
 
@@ -314,7 +316,7 @@
         Judgements of the runs that are not good, or were cleared recently.
     """
     share = usual_bad_share(
-        evidence[label].whole for label in domains if label in evidence
+        evidence[label].window for label in domains if label in evidence
     )
     judged = {
         label: judge_run(
--- a/src/agatethread/balancing/_quality_records.py
+++ b/src/agatethread/balancing/_quality_records.py
@@ -43,7 +43,7 @@
         """Number of slow and failed answers."""
         return self.slow + self.failed
 
-    def plus(self, other: "AnswerCounts") -> "AnswerCounts":
+    def add(self, other: "AnswerCounts") -> "AnswerCounts":
         """Return the sum of these and other counts.
 
         Parameters
@@ -72,7 +72,7 @@
 
     Attributes
     ----------
-    whole : AnswerCounts
+    window : AnswerCounts
         Answers in the whole window.
     recent : AnswerCounts
         Answers in the newest part of the window, to detect a sudden change.
@@ -89,7 +89,7 @@
         Failure domains that observed a bad answer.
     """
 
-    whole: AnswerCounts = NO_ANSWERS
+    window: AnswerCounts = NO_ANSWERS
     recent: AnswerCounts = NO_ANSWERS
     fresh: AnswerCounts = NO_ANSWERS
     good_since_bad: int = 0
@@ -113,7 +113,7 @@
         Share of its usual new work that it gets, 0 to 1.
     since_s : float
         When it entered this state.
-    seen_s : float
+    last_answer_s : float
         When its last answer was observed.
     chance : float
         Probability of its bad answers on a server like the others.
@@ -122,7 +122,7 @@
     quality: Quality = Quality.GOOD
     weight: float = 1.0
     since_s: float = -inf
-    seen_s: float = -inf
+    last_answer_s: float = -inf
     chance: float = 1.0
 
 
--- a/src/agatethread/balancing/_records.py
+++ b/src/agatethread/balancing/_records.py
@@ -15,7 +15,7 @@
     ----------
     urgency : int
         0 is the most urgent.
-    asked_s : float
+    requested_s : float
         When the caller first sent it, by the clock of the deciding instance.
     aim_s : float, optional
         Time from there within which the caller wants its answer.
@@ -23,21 +23,21 @@
         Time from there after which the caller discards an answer.
     caller : int, optional
         Identifies the caller for fair sharing.
-    is_behind : bool, optional
+    is_deferred : bool, optional
         Whether it is queued behind the openings of all urgencies.
     """
 
     urgency: int
-    asked_s: float
+    requested_s: float
     aim_s: float = inf
     timeout_s: float = inf
     caller: int = 0
-    is_behind: bool = False
+    is_deferred: bool = False
 
     @property
     def rank(self) -> int:
         """Queueing rank; 0 goes first."""
-        return self.urgency + DEFERRED_RANK if self.is_behind else self.urgency
+        return self.urgency + DEFERRED_RANK if self.is_deferred else self.urgency
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,13 +47,13 @@
     Attributes
     ----------
     free_count : int
-        Free slots.
+        Free places.
     waiting_count : int
-        Openings that are queued for a slot.
+        Openings that are queued for a place.
     place_count : int
-        Slots: openings and requests that the servers may have in progress together.
+        Places: openings and requests that the servers may have in progress together.
     place_time_s : float
-        Usual time for which an opening or request occupies a slot.
+        Usual time for which an opening or request occupies a place.
     """
 
     free_count: int
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Elsewhere:
+class PlacementAlternative:
     """Another instance that may place an opening.
 
     Attributes
--- a/src/agatethread/balancing/_return.py
+++ b/src/agatethread/balancing/_retry_schedule.py
@@ -17,8 +17,8 @@
 #: Interval of removing owners whose retry times have passed; until then each of them
 #: counts as one more turn.
 _CLEANUP_INTERVAL_S = 0.1
-#: Upper bound of the work booked for one second, relative to the capacity, while there
-#: is room before the end of the schedule. Most deadlines allow the resulting wait.
+#: Upper bound of the work reserved for one second, relative to the capacity, while
+#: there is room before the end of the schedule. Most deadlines allow the wait.
 _MAX_BOOKED_RATIO = 1.5
 
 
@@ -54,32 +54,32 @@
     """Schedule of retry times, shared fairly among owners of callers.
 
     Owners take turns, so an owner with thousands of refused callers does not delay the
-    first caller of another. Booked times are not moved: new callers of other owners are
-    placed between them, which overbooks a second by a bounded ratio. The turn of a
+    first caller of another. Reserved times are not moved: new callers of other owners
+    are placed between them, which overbooks a second by a bounded ratio. The turn of a
     caller that does not retry is unused for other refused callers until its time has
     passed.
     """
 
     def __init__(self) -> None:
         self._last_s = -inf
-        #: Latest time booked for each owner; past ones are removed.
+        #: Latest time reserved for each owner; past ones are removed.
         self._last_by_owner: dict[str, float] = {}
         self._next_cleanup_s = -inf
-        #: Booked work by second.
+        #: Reserved work by second.
         self._booked_work_s: dict[int, float] = {}
 
     def __len__(self) -> int:
         return len(self._last_by_owner)
 
-    def book(self, owner: str, wait_s: float, turn_s: float, now_s: float) -> float:
-        """Book a retry time for one more caller and return it.
+    def reserve(self, owner: str, wait_s: float, turn_s: float, now_s: float) -> float:
+        """Reserve a retry time for one more caller and return it.
 
         Parameters
         ----------
         owner : str
             Owner of the caller.
         wait_s : float
-            Expected wait without any booked retries.
+            Expected wait without any reserved retries.
         turn_s : float
             Time that the servers need for one more caller.
         now_s : float
@@ -88,8 +88,8 @@
         Returns
         -------
         float
-            Seconds from now: after all times booked for this owner and as many for each
-            other owner, but no later than after all booked times.
+            Seconds from now: after all times reserved for this owner and as many for
+            each other owner, but no later than after all reserved times.
         """
         own_last_s = self._last_by_owner.pop(owner, -inf)
         self._remove_past(now_s)
@@ -107,7 +107,7 @@
         return booked_s - now_s
 
     def _find_free_time(self, from_s: float, turn_s: float) -> float:
-        """Return the earliest time, from a given one on, with capacity left to book."""
+        """Return the earliest time, from a given one on, with capacity left."""
         second = floor(from_s)
         while self._booked_work_s.get(second, 0.0) + turn_s > _MAX_BOOKED_RATIO:
             if second > self._last_s:
--- a/src/agatethread/control/_state.py
+++ b/src/agatethread/control/_state.py
@@ -5,7 +5,7 @@
 from dataclasses import asdict
 
 from agatethread.exceptions import DocumentError
-from agatethread.routing import keep_earlier_services
+from agatethread.routing import add_earlier_services
 from agatethread.wire.control_pb2 import (
     Command,
     ControlState,
@@ -150,7 +150,7 @@
         if put.version > self.routes.version:
             table = RoutingTable.FromString(put.table)
             before = RoutingTable.FromString(self.routes.table)
-            keep_earlier_services(table, before)
+            add_earlier_services(table, before)
             self.routes = PutRoutes(
                 version=put.version,
                 source=put.source,
--- a/src/agatethread/datapath/_dispatching.py
+++ b/src/agatethread/datapath/_dispatching.py
@@ -11,13 +11,13 @@
 from dataclasses import replace
 
 from agatethread.balancing import (
+    AdmissionDecision,
     CallerShares,
     GroupLoad,
     Opening,
-    Verdict,
-    WaitingLine,
-    judge_opening,
-    rank_opening,
+    OpeningQueue,
+    apply_caller_share,
+    decide_admission,
 )
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._groups import ServerGroups
@@ -87,7 +87,7 @@
         self._now_s = now_s
         self._counters = counters
         self._policies = policies
-        self._queues: dict[str, WaitingLine[ReceivedOpening]] = {}
+        self._queues: dict[str, OpeningQueue[ReceivedOpening]] = {}
         #: By service, to limit each caller to its share.
         self._shares: defaultdict[str, CallerShares] = defaultdict(CallerShares)
         self._places = PlaceCounts(now_s)
@@ -169,7 +169,7 @@
         now_s = self._now_s()
         opening = Opening(
             urgency=route.urgency,
-            asked_s=now_s - relayed.waited_ms / 1000,
+            requested_s=now_s - relayed.waited_ms / 1000,
             # Leaves time for the answer after the opening is placed.
             aim_s=route.aim_s
             - _ANSWER_TIMES * self._places.place_time_s(relayed.service),
@@ -197,16 +197,16 @@
     def _rank(self, received: ReceivedOpening) -> ReceivedOpening:
         """Rank an opening, behind all others while its caller exceeds its share."""
         shares, caller = self._shares[received.service], received.opening.caller
-        is_over = shares.is_over(caller, self._now_s())
+        exceeds_share = shares.exceeds_share(caller, self._now_s())
         waiting_count = len(self._queue_of(received.service))
-        ranked = rank_opening(received.opening, is_over, waiting_count)
+        ranked = apply_caller_share(received.opening, exceeds_share, waiting_count)
         return replace(received, opening=ranked)
 
     def _record_share(self, received: ReceivedOpening) -> None:
         """Count an opening towards its caller's share, once for all its copies."""
         if not received.tried:
             shares = self._shares[received.service]
-            shares.note(received.opening.caller, self._now_s())
+            shares.record(received.opening.caller, self._now_s())
 
     def _decide(self, received: ReceivedOpening) -> None:
         now_s = self._now_s()
@@ -218,23 +218,23 @@
         target = self._others.choose_target(
             received.relayed, candidates, not load.place_count
         )
-        verdict = judge_opening(
+        decision = decide_admission(
             received.opening,
             load,
             queue.count_ahead(received.opening.rank),
             now_s,
             target.elsewhere if target else None,
         )
-        if verdict is Verdict.PLACE and self._place(received):
+        if decision is AdmissionDecision.PLACE and self._place(received):
             self._record_share(received)
             return
         if not load.place_count and target is None and self._place(received):
             # No server is known to answer, so an unanswering one is tried.
             return
-        if verdict is Verdict.HAND_OVER and target is not None:
+        if decision is AdmissionDecision.HAND_OVER and target is not None:
             self._hand_over(received, target.address)
             return
-        if verdict is Verdict.REFUSE or not self._enqueue(received):
+        if decision is AdmissionDecision.REFUSE or not self._enqueue(received):
             self._refuse(received)
 
     def _enqueue(self, received: ReceivedOpening) -> bool:
@@ -243,7 +243,7 @@
             received.opening, received.packet.key, received, self._now_s()
         ):
             return False
-        if not received.opening.is_behind:
+        if not received.opening.is_deferred:
             # Counted on arrival, so that a burst does not precede later callers.
             self._record_share(received)
             self._counters["openings_waiting"] += 1
@@ -268,7 +268,7 @@
         self._places.allocate(
             key, backend, received.service, received.tried, received.sender
         )
-        waited_s = now_s - received.opening.asked_s
+        waited_s = now_s - received.opening.requested_s
         self.waited_s.record(waited_s)
         self._counters[f"openings_dispatched_urgency_{received.opening.urgency}"] += 1
         backend.start_trial(now_s)
@@ -283,7 +283,7 @@
             flow=str(received.packet.key),
             service=received.service,
             urgency=received.opening.urgency,
-            waited_s=round(self._now_s() - received.opening.asked_s, 3),
+            waited_s=round(self._now_s() - received.opening.requested_s, 3),
             waiting=load.waiting_count,
             places=load.place_count,
             place_time_s=round(load.place_time_s, 4),
@@ -292,7 +292,7 @@
         self._actions.send(RegistryMessage(returned=returned), received.origin)
 
     def _hand_over(self, received: ReceivedOpening, address: bytes) -> None:
-        waited_s = self._now_s() - received.opening.asked_s
+        waited_s = self._now_s() - received.opening.requested_s
         crosses = self._others.is_in_other_domain(address)
         self._others.record_handover(received.packet.key, received.service, address)
         self._counters["openings_handed_over"] += 1
@@ -342,7 +342,7 @@
             received = queue.pop(self._now_s())
             if received is None or not self._place(received):
                 return
-            if received.opening.is_behind:
+            if received.opening.is_deferred:
                 self._record_share(received)
 
     def tick(self) -> None:
@@ -352,7 +352,7 @@
             self._counters["places_given_up"] += 1
             placement.backend.fail(placement.since_s, now_s)
         for service, queue in list(self._queues.items()):
-            for received in queue.take_expired(now_s):
+            for received in queue.pop_expired(now_s):
                 self._refuse(received)
             self._place_waiting(service)
             if not self._load_of(service).place_count:
@@ -366,7 +366,7 @@
             )
         self._reporter.tick()
 
-    def _return_waiting(self, queue: "WaitingLine[ReceivedOpening]") -> None:
+    def _return_waiting(self, queue: "OpeningQueue[ReceivedOpening]") -> None:
         """Return waiting openings to their senders when no server is reachable."""
         while (received := queue.pop(self._now_s())) is not None:
             self._counters["openings_given_back"] += 1
@@ -381,10 +381,10 @@
         self._queues.clear()
         self._places.clear()
 
-    def _queue_of(self, service: str) -> "WaitingLine[ReceivedOpening]":
+    def _queue_of(self, service: str) -> "OpeningQueue[ReceivedOpening]":
         queue = self._queues.get(service)
         if queue is None:
-            queue = self._queues[service] = WaitingLine()
+            queue = self._queues[service] = OpeningQueue()
         return queue
 
     def _servers_of(self, service: str) -> Sequence[Backend]:
--- a/src/agatethread/datapath/_groups.py
+++ b/src/agatethread/datapath/_groups.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
 
-from agatethread.balancing import share_out
+from agatethread.balancing import assign_servers
 from agatethread.datapath._backend import Backend
 from agatethread.wire.registry_pb2 import Dispatchers
 
@@ -92,7 +92,7 @@
             for backend in self._runs_of(service)
             if backend.failure_domain == self._failure_domain
         }
-        shares = share_out(sorted(own_domain_servers), self.dispatchers)
+        shares = assign_servers(sorted(own_domain_servers), self.dispatchers)
         by_dispatcher = {
             dispatcher: tuple(own_domain_servers[number] for number in numbers)
             for dispatcher, numbers in shares.items()
--- a/src/agatethread/datapath/_handing_over.py
+++ b/src/agatethread/datapath/_handing_over.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from math import inf
 
-from agatethread.balancing import Elsewhere
+from agatethread.balancing import PlacementAlternative
 from agatethread.datapath._packets import FlowKey
 from agatethread.wire.registry_pb2 import DispatcherLoad, Dispatchers, RelayedOpening
 
@@ -60,12 +60,12 @@
     ----------
     address : bytes
         Its packed address.
-    elsewhere : Elsewhere
+    elsewhere : PlacementAlternative
         Expected wait of an opening.
     """
 
     address: bytes
-    elsewhere: Elsewhere
+    elsewhere: PlacementAlternative
 
 
 class OtherDispatchers:
@@ -184,11 +184,11 @@
         reported = [address for address in sorted(own_candidates) if address in loads]
         free = [address for address in reported if loads[address].is_free]
         if free:
-            return HandoverTarget(random.choice(free), Elsewhere(0.0))
+            return HandoverTarget(random.choice(free), PlacementAlternative(0.0))
         unknown = sorted(own_candidates.difference(reported))
         busy = [address for address in reported if not loads[address].is_unreachable]
         if unknown and len(busy) < _MIN_BUSY_COUNT:
-            return HandoverTarget(random.choice(unknown), Elsewhere(None))
+            return HandoverTarget(random.choice(unknown), PlacementAlternative(None))
         return None
 
     def _choose_in_other_domain(
@@ -199,7 +199,9 @@
             self._now_s() - self._probed_s.get(service, -inf) >= _PROBE_INTERVAL_S
         )
         if unknown and may_probe:
-            return HandoverTarget(random.choice(unknown), Elsewhere(None, crosses=True))
+            return HandoverTarget(
+                random.choice(unknown), PlacementAlternative(None, crosses=True)
+            )
         return _choose_least_busy(self._other_domains, loads, True)
 
     def record_handover(self, key: FlowKey, service: str, address: bytes) -> None:
@@ -300,4 +302,6 @@
         return None
     min_s = min(waits_s.values())
     least_busy = [address for address, wait_s in waits_s.items() if wait_s == min_s]
-    return HandoverTarget(random.choice(least_busy), Elsewhere(min_s, crosses))
+    return HandoverTarget(
+        random.choice(least_busy), PlacementAlternative(min_s, crosses)
+    )
--- a/src/agatethread/entry/_announcements.py
+++ b/src/agatethread/entry/_announcements.py
@@ -6,7 +6,7 @@
 from agatethread.exceptions import DatagramError, SealError
 from agatethread.membership import Member, MemberTable
 from agatethread.observability import Counters
-from agatethread.routing import Endpoint, EndpointTable, Heard
+from agatethread.routing import AnnouncementResult, Endpoint, EndpointTable
 from agatethread.settings import EntrySettings, format_address
 from agatethread.wire import (
     Announcement,
@@ -92,7 +92,7 @@
         now_s = self._now_s()
         for endpoint in self._endpoints.by_address.values():
             domain = endpoint.announcement.failure_domain
-            endpoint.out_of_sight = domain not in domains
+            endpoint.is_unreachable = domain not in domains
             is_new = endpoint.service in held - self._held
             if is_new or domain in domains - self._domains:
                 endpoint.extend_lease(now_s)
@@ -122,7 +122,7 @@
         announcement.address = source
 
         heard = self._hear(announcement)
-        if heard is not Heard.STALE:
+        if heard is not AnnouncementResult.STALE:
             self._tell(announcement, heard)
         self._acknowledge(announcement, source)
 
@@ -136,29 +136,31 @@
         """
         self._hear(announcement)
 
-    def _hear(self, announcement: Announcement) -> Heard:
+    def _hear(self, announcement: Announcement) -> AnnouncementResult:
         address = announcement.address
         before = self._endpoints.by_address.get(address)
         was_gone = before is not None and before.gone
-        heard, displaced = self._endpoints.hear(address, announcement, self._now_s())
+        heard, displaced = self._endpoints.apply_announcement(
+            address, announcement, self._now_s()
+        )
         self._counters["announcement_" + heard.name.lower()] += 1
         if displaced is not None:
             self._on_gone(displaced)
 
         endpoint = self._endpoints.by_address[address]
-        if heard is not Heard.STALE:
+        if heard is not AnnouncementResult.STALE:
             domain = endpoint.announcement.failure_domain
-            endpoint.out_of_sight = not self._members.sees_domain(domain)
-        if heard is Heard.CHANGED:
+            endpoint.is_unreachable = not self._members.sees_domain(domain)
+        if heard is AnnouncementResult.CHANGED:
             self._on_changed(endpoint)
             if endpoint.gone and not was_gone:
                 self._on_gone(endpoint)
         return heard
 
-    def _tell(self, announcement: Announcement, heard: Heard) -> None:
+    def _tell(self, announcement: Announcement, heard: AnnouncementResult) -> None:
         targets = (
             self._members.live_peers()
-            if heard is Heard.CHANGED
+            if heard is AnnouncementResult.CHANGED
             else self._other_holders(announcement.service)
         )
         for member in targets:
@@ -213,8 +215,8 @@
             ended.address = endpoint.address
             ended.leaving = True
             self._hear(ended)
-            self._tell(ended, Heard.CHANGED)
-        self._endpoints.forget_gone(now_s, _GONE_KEPT_S)
+            self._tell(ended, AnnouncementResult.CHANGED)
+        self._endpoints.delete_gone(now_s, _GONE_KEPT_S)
 
     def tell_newcomer(self, member: Member) -> None:
         """Send a new instance what this one holds the leases of.
--- a/src/agatethread/entry/_fragments.py
+++ b/src/agatethread/entry/_fragments.py
@@ -1,18 +1,18 @@
 """Asks senders for the fragments of a message that did not come."""
 
-from agatethread.operations import Ports
+from agatethread.operations import InstanceCallbacks
 from agatethread.transfer import Assembler
 from agatethread.wire import Envelope, Kind
 
 
-def ask_for_missing(assembler: Assembler, ports: Ports) -> None:
+def ask_for_missing(assembler: Assembler, ports: InstanceCallbacks) -> None:
     """Ask callers and backend servers for what has been missing for a while.
 
     Parameters
     ----------
     assembler : Assembler
         Holds the messages that are not whole yet.
-    ports : Ports
+    ports : InstanceCallbacks
         Reach their senders.
     """
     for partial, indices in assembler.take_quiet():
--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -17,7 +17,7 @@
 from agatethread.entry._requests import RequestDesk
 from agatethread.membership import Member, MemberTable, Prober
 from agatethread.observability import Counters, make_logger
-from agatethread.operations import Ports
+from agatethread.operations import InstanceCallbacks
 from agatethread.routing import Endpoint, EndpointTable, FlowTable
 from agatethread.settings import EntrySettings, Settings, parse_address
 from agatethread.sockets import (
@@ -162,9 +162,9 @@
         )
 
     def _build_request_parts(self, entry: EntrySettings) -> None:
-        ports = Ports(
+        ports = InstanceCallbacks(
             now_s=self.timers.now_s,
-            me=lambda: self.members.me.ref,
+            own_member=lambda: self.members.me.ref,
             is_alive=self.members.is_alive,
             send_peer=self.send_peer,
             send_backend=self._send_backend,
@@ -335,7 +335,7 @@
             elif service not in self._dispatched:
                 self._dispatched.add(service)
                 for endpoint in self.endpoints.of_service(service):
-                    endpoint.inherit(now_s)
+                    endpoint.inherit_reported_load(now_s)
 
     def is_dispatcher(self, service: str) -> bool:
         """Tell whether this instance dispatches for a service now.
--- a/src/agatethread/entry/_placement.py
+++ b/src/agatethread/entry/_placement.py
@@ -95,7 +95,7 @@
             caller,
             self._now_s(),
         )
-        placed = self._flows.find(key)
+        placed = self._flows.get_endpoint(key)
         if placed is not None and not placed.gone:
             self._send_open(pending, placed)
             return
@@ -193,12 +193,12 @@
             The backend server.
         """
         key = flow_key(service, flow_id)
-        placed = self._flows.find(key)
+        placed = self._flows.get_endpoint(key)
         pending = self._pending.get(key)
         if pending is None or placed is None or placed.address != address:
             return
 
-        placed.fail(self._now_s())
+        placed.record_failure(self._now_s())
         self._flows.remove(key, None)
         del self._pending[key]
         self._counters["flow_shed"] += 1
--- a/src/agatethread/entry/_requests.py
+++ b/src/agatethread/entry/_requests.py
@@ -8,10 +8,10 @@
 from agatethread.membership import MemberTable
 from agatethread.observability import Counters
 from agatethread.operations import (
-    ClaimKeeper,
+    InstanceCallbacks,
     OperationOwner,
-    Ports,
     ServiceQueue,
+    StandbyClaims,
 )
 from agatethread.routing import EndpointTable
 from agatethread.settings import EntrySettings
@@ -43,7 +43,7 @@
     ----------
     entry : EntrySettings
         Limits of the role.
-    ports : Ports
+    ports : InstanceCallbacks
         The rest of the instance.
     sealer : Sealer
         Opens tokens and labels.
@@ -62,7 +62,7 @@
     def __init__(
         self,
         entry: EntrySettings,
-        ports: Ports,
+        ports: InstanceCallbacks,
         sealer: Sealer,
         members: MemberTable,
         endpoints: EndpointTable,
@@ -77,7 +77,7 @@
         self._book = book
         self._counters = counters
         self._queues: dict[str, ServiceQueue] = {}
-        self.claims = ClaimKeeper(
+        self.claims = StandbyClaims(
             ports,
             sealer,
             endpoints,
@@ -206,7 +206,7 @@
 
     def _own(self, envelope: Envelope, token: Token, caller: bytes) -> None:
         deadline_s = self._deadline_s(envelope)
-        if self.owner.knows(envelope.operation_id):
+        if self.owner.has_operation(envelope.operation_id):
             self.owner.on_request(envelope, token, caller, deadline_s)
             return
         try:
@@ -381,7 +381,7 @@
         """
         queue = self._queues.get(service)
         if queue is not None:
-            queue.pump()
+            queue.grant_waiting()
 
     def refuse_waiting(self) -> None:
         """Refuse what has not been dispatched, on leaving."""
@@ -391,7 +391,7 @@
     def sweep(self) -> None:
         """Do what is due: give out slots, decide for dead owners, expire records."""
         for queue in self._queues.values():
-            queue.pump()
+            queue.grant_waiting()
         ask_for_missing(self._assembler, self._ports)
         self.claims.sweep()
         self.owner.expire()
--- a/src/agatethread/operations/__init__.py
+++ b/src/agatethread/operations/__init__.py
@@ -1,25 +1,25 @@
 """Request processing: admission, at-most-once dispatch and verdicts."""
 
-from agatethread.operations._asking import ClaimAsker
-from agatethread.operations._claims import ClaimKeeper
+from agatethread.operations._claim_requests import ClaimRequester
+from agatethread.operations._claims import StandbyClaims
 from agatethread.operations._owner import OperationOwner
 from agatethread.operations._queue import ServiceQueue
 from agatethread.operations._records import (
+    InstanceCallbacks,
     Operation,
-    Ports,
     RefusedError,
-    refused,
-    unknown,
+    make_refused_verdict,
+    make_unknown_verdict,
 )
 
 __all__ = [
-    "ClaimAsker",
-    "ClaimKeeper",
+    "ClaimRequester",
+    "StandbyClaims",
     "Operation",
     "OperationOwner",
-    "Ports",
+    "InstanceCallbacks",
     "RefusedError",
     "ServiceQueue",
-    "refused",
-    "unknown",
+    "make_refused_verdict",
+    "make_unknown_verdict",
 ]
--- a/src/agatethread/operations/_attempts.py
+++ b/src/agatethread/operations/_attempts.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from agatethread.observability import Counters
-from agatethread.operations._records import Operation, Ports
+from agatethread.operations._records import InstanceCallbacks, Operation
 from agatethread.routing import Endpoint
 from agatethread.transfer import Outbox
 from agatethread.wire import (
@@ -23,7 +23,7 @@
 _MIN_IDEMPOTENT_TIMEOUT_S = 0.5
 
 
-class End(enum.Enum):
+class AttemptEnd(enum.Enum):
     """Kind of an attempt's end."""
 
     ANSWERED = enum.auto()
@@ -34,22 +34,22 @@
 
 
 @dataclass(frozen=True)
-class Outcome:
+class AttemptOutcome:
     """End of an attempt, with the backend server's reply if there was one."""
 
-    end: End
+    end: AttemptEnd
     reply: Envelope | None = None
     waited_s: float = 0.0
 
 
-def settle(operation: Operation, outcome: Outcome) -> None:
+def set_outcome(operation: Operation, outcome: AttemptOutcome) -> None:
     """Set the outcome of the current attempt, unless it has ended.
 
     Parameters
     ----------
     operation : Operation
         The operation.
-    outcome : Outcome
+    outcome : AttemptOutcome
         The outcome.
     """
     if operation.outcome is not None and not operation.outcome.done():
@@ -61,7 +61,7 @@
 
     Parameters
     ----------
-    ports : Ports
+    ports : InstanceCallbacks
         Access to the rest of the instance.
     sealer : Sealer
         Seals return labels.
@@ -69,13 +69,13 @@
         Counts dispatches.
     """
 
-    def __init__(self, ports: Ports, sealer: Sealer, counters: Counters):
+    def __init__(self, ports: InstanceCallbacks, sealer: Sealer, counters: Counters):
         self._ports = ports
         self._sealer = sealer
         self._counters = counters
         self._outbox = Outbox()
 
-    async def run(self, operation: Operation, endpoint: Endpoint) -> Outcome:
+    async def run(self, operation: Operation, endpoint: Endpoint) -> AttemptOutcome:
         """Dispatch an operation and return the outcome of the attempt.
 
         Parameters
@@ -87,7 +87,7 @@
 
         Returns
         -------
-        Outcome
+        AttemptOutcome
             The outcome.
         """
         operation.endpoint = endpoint
@@ -104,12 +104,12 @@
             )
         try:
             outcome = await asyncio.wait_for(operation.outcome, wait_s)
-            if outcome.end is End.SHED:
+            if outcome.end is AttemptEnd.SHED:
                 operation.may_have_run = may_have_run_before
             return outcome
         except TimeoutError:
             self.cancel(operation)
-            return Outcome(End.TIMED_OUT, waited_s=wait_s)
+            return AttemptOutcome(AttemptEnd.TIMED_OUT, waited_s=wait_s)
 
     def _dispatch(self, operation: Operation, endpoint: Endpoint) -> None:
         label = OperationLabel(
--- a/src/agatethread/operations/_asking.py
+++ b/src/agatethread/operations/_claim_requests.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from agatethread.observability import Counters
-from agatethread.operations._records import Operation, Ports, RefusedError
+from agatethread.operations._records import InstanceCallbacks, Operation, RefusedError
 from agatethread.routing import Endpoint
 from agatethread.wire import Claim, ClaimReply, Peer, Reason
 
@@ -11,12 +11,12 @@
 _CLAIM_RESEND_INTERVAL_S = 0.05
 
 
-class ClaimAsker:
+class ClaimRequester:
     """Requests claims from standbys and waits for the replies.
 
     Parameters
     ----------
-    ports : Ports
+    ports : InstanceCallbacks
         Access to the rest of the instance.
     timeout_s : float
         Longest time that a claim may take.
@@ -24,13 +24,13 @@
         Counts failed claims.
     """
 
-    def __init__(self, ports: Ports, timeout_s: float, counters: Counters):
+    def __init__(self, ports: InstanceCallbacks, timeout_s: float, counters: Counters):
         self._ports = ports
         self._timeout_s = timeout_s
         self._counters = counters
         self._pending_replies: dict[tuple[bytes, int], asyncio.Future[bool]] = {}
 
-    async def ask(self, operation: Operation, endpoint: Endpoint) -> None:
+    async def request_claim(self, operation: Operation, endpoint: Endpoint) -> None:
         """Request the claim for an operation's next attempt.
 
         Parameters
--- a/src/agatethread/operations/_claims.py
+++ b/src/agatethread/operations/_claims.py
@@ -10,7 +10,12 @@
 
 from agatethread.exceptions import SealError
 from agatethread.observability import Counters
-from agatethread.operations._records import Ports, RetainedTable, refused, unknown
+from agatethread.operations._records import (
+    InstanceCallbacks,
+    RetainedTable,
+    make_refused_verdict,
+    make_unknown_verdict,
+)
 from agatethread.routing import EndpointTable
 from agatethread.wire import (
     Claim,
@@ -51,12 +56,12 @@
     verdict: bytes | None = None
 
 
-class ClaimKeeper:
+class StandbyClaims:
     """Claims of operations whose standby is this run of this instance.
 
     Parameters
     ----------
-    ports : Ports
+    ports : InstanceCallbacks
         Access to the rest of the instance.
     sealer : Sealer
         Opens tokens.
@@ -72,7 +77,7 @@
 
     def __init__(
         self,
-        ports: Ports,
+        ports: InstanceCallbacks,
         sealer: Sealer,
         endpoints: EndpointTable,
         counters: Counters,
@@ -109,10 +114,14 @@
 
     def _grant(self, sender: MemberRef, claim: Claim) -> bool:
         token = self._parse(claim.operation_id)
-        if token is None or token.owner != sender or token.standby != self._ports.me():
+        if (
+            token is None
+            or token.owner != sender
+            or token.standby != self._ports.own_member()
+        ):
             return False
 
-        record = self._records.find(claim.operation_id)
+        record = self._records.get(claim.operation_id)
         if record is not None:
             return self._grant_again(record, claim)
         if self._records.is_full:
@@ -153,7 +162,7 @@
         note : VerdictNote
             The verdict.
         """
-        record = self._records.find(note.operation_id)
+        record = self._records.get(note.operation_id)
         if record is not None and record.state is _State.CLAIMED:
             self._decide(note.operation_id, record, note.datagram)
 
@@ -170,7 +179,7 @@
             Packed address of the caller.
         """
         operation_id = envelope.operation_id
-        record = self._records.find(operation_id)
+        record = self._records.get(operation_id)
         if record is not None and record.state is _State.DECIDED:
             self._ports.send_caller(caller, record.verdict)
             return
@@ -186,7 +195,9 @@
     def _refuse(self, envelope: Envelope, token: Token, caller: bytes) -> None:
         fresh_token = self._ports.fresh_token(envelope.service)
         if self._records.is_full:
-            verdict = unknown(envelope.operation_id, Reason.TABLE_FULL, fresh_token)
+            verdict = make_unknown_verdict(
+                envelope.operation_id, Reason.TABLE_FULL, fresh_token
+            )
             self._ports.send_caller(caller, verdict)
             return
 
@@ -195,7 +206,7 @@
             token, envelope.service, caller, b"", 0, 0.0, _State.CLAIMED
         )
         self._records.add(envelope.operation_id, record)
-        verdict = refused(
+        verdict = make_refused_verdict(
             envelope.operation_id, Reason.MOVED, _MOVED_RETRY_S, fresh_token
         )
         self._decide(envelope.operation_id, record, verdict)
@@ -216,7 +227,7 @@
         envelope : Envelope
             The reply.
         """
-        record = self._records.find(operation_id)
+        record = self._records.get(operation_id)
         if record is None or record.state is _State.DECIDED:
             return
         if label.attempt != record.attempt:
@@ -229,7 +240,9 @@
         else:
             # Shed: the operation did not run, and later attempts will be denied.
             fresh_token = self._ports.fresh_token(record.service)
-            verdict = refused(operation_id, Reason.MOVED, _MOVED_RETRY_S, fresh_token)
+            verdict = make_refused_verdict(
+                operation_id, Reason.MOVED, _MOVED_RETRY_S, fresh_token
+            )
         self._decide(operation_id, record, verdict)
         self._counters["standby_completed"] += 1
         self._ports.send_caller(record.caller, verdict)
@@ -250,7 +263,7 @@
     def _close_without_note(self, operation_id: bytes, record: _ClaimRecord) -> None:
         # The owner has answered the caller by the deadline; its verdict note was lost.
         fresh_token = self._ports.fresh_token(record.service)
-        verdict = unknown(operation_id, Reason.DEADLINE, fresh_token)
+        verdict = make_unknown_verdict(operation_id, Reason.DEADLINE, fresh_token)
         self._decide(operation_id, record, verdict)
 
     def _is_gone(self, address: bytes) -> bool:
@@ -259,7 +272,7 @@
 
     def _send_unknown(self, operation_id: bytes, record: _ClaimRecord) -> None:
         fresh_token = self._ports.fresh_token(record.service)
-        verdict = unknown(operation_id, Reason.HOME_LOST, fresh_token)
+        verdict = make_unknown_verdict(operation_id, Reason.HOME_LOST, fresh_token)
         self._decide(operation_id, record, verdict)
         self._counters["standby_unknown"] += 1
         self._ports.send_caller(record.caller, verdict)
--- a/src/agatethread/operations/_large.py
+++ b/src/agatethread/operations/_large_verdicts.py
@@ -2,7 +2,11 @@
 
 from collections import deque
 
-from agatethread.operations._records import Operation, Ports, unknown
+from agatethread.operations._records import (
+    InstanceCallbacks,
+    Operation,
+    make_unknown_verdict,
+)
 from agatethread.wire import MAX_DATAGRAM_BYTES, Reason
 
 #: How long a large verdict is kept for copies of its operation.
@@ -14,13 +18,13 @@
 
     Parameters
     ----------
-    ports : Ports
+    ports : InstanceCallbacks
         Access to the rest of the instance.
     limit_bytes : int
         Maximum total size of the verdicts.
     """
 
-    def __init__(self, ports: Ports, limit_bytes: int):
+    def __init__(self, ports: InstanceCallbacks, limit_bytes: int):
         self._ports = ports
         self._limit_bytes = limit_bytes
         self._stored: deque[tuple[float, Operation]] = deque()
@@ -51,6 +55,6 @@
             self._stored.popleft()
             self._size_bytes -= len(operation.verdict)
             fresh_token = self._ports.fresh_token(operation.service)
-            operation.verdict = unknown(
+            operation.verdict = make_unknown_verdict(
                 operation.operation_id, Reason.TOO_LARGE, fresh_token
             )
--- a/src/agatethread/operations/_owner.py
+++ b/src/agatethread/operations/_owner.py
@@ -4,18 +4,23 @@
 from typing import Any
 
 from agatethread.observability import Counters
-from agatethread.operations._asking import MOVED_RETRY_S, ClaimAsker
-from agatethread.operations._attempts import Attempts, End, Outcome, settle
-from agatethread.operations._large import LargeVerdicts
+from agatethread.operations._attempts import (
+    AttemptEnd,
+    AttemptOutcome,
+    Attempts,
+    set_outcome,
+)
+from agatethread.operations._claim_requests import MOVED_RETRY_S, ClaimRequester
+from agatethread.operations._large_verdicts import LargeVerdicts
 from agatethread.operations._queue import ServiceQueue
 from agatethread.operations._records import (
+    InstanceCallbacks,
     Operation,
-    Ports,
     RefusedError,
     RetainedTable,
     make_operation,
-    refused,
-    unknown,
+    make_refused_verdict,
+    make_unknown_verdict,
 )
 from agatethread.routing import Endpoint
 from agatethread.transfer import split_datagram
@@ -40,7 +45,7 @@
 
     Parameters
     ----------
-    ports : Ports
+    ports : InstanceCallbacks
         Access to the rest of the instance.
     sealer : Sealer
         Seals return labels.
@@ -58,7 +63,7 @@
 
     def __init__(
         self,
-        ports: Ports,
+        ports: InstanceCallbacks,
         sealer: Sealer,
         queue_of: Callable[[str], ServiceQueue | None],
         is_dispatcher: Callable[[str], bool],
@@ -74,7 +79,7 @@
         self._is_dispatcher = is_dispatcher
         self._start_task = start_task
         self._counters = counters
-        self.claims = ClaimAsker(ports, claim_timeout_s, counters)
+        self.claims = ClaimRequester(ports, claim_timeout_s, counters)
         self._table: RetainedTable[Operation] = RetainedTable(limit_count, retention_s)
         self._running: set[Operation] = set()
         self._attempts = Attempts(ports, sealer, counters)
@@ -104,7 +109,7 @@
         deadline_s : float
             Time until the deadline.
         """
-        operation = self._table.find(envelope.operation_id)
+        operation = self._table.get(envelope.operation_id)
         if operation is not None:
             self._on_copy(operation, caller)
             return
@@ -122,10 +127,12 @@
         # "unknown".
         self._counters["operation_table_full"] += 1
         fresh_token = self._ports.fresh_token(envelope.service)
-        verdict = unknown(envelope.operation_id, Reason.TABLE_FULL, fresh_token)
+        verdict = make_unknown_verdict(
+            envelope.operation_id, Reason.TABLE_FULL, fresh_token
+        )
         self._ports.send_caller(caller, verdict)
 
-    def knows(self, operation_id: bytes) -> bool:
+    def has_operation(self, operation_id: bytes) -> bool:
         """Return whether an operation was received before.
 
         Parameters
@@ -138,7 +145,7 @@
         bool
             Whether the table has a record of it.
         """
-        return self._table.find(operation_id) is not None
+        return self._table.get(operation_id) is not None
 
     def refuse(
         self, envelope: Envelope, token: Token, caller: bytes, reason: int
@@ -193,8 +200,10 @@
     def _refusal(self, operation: Operation, error: RefusedError) -> bytes:
         token = self._ports.fresh_token(operation.service)
         if operation.may_have_run:
-            return unknown(operation.operation_id, error.reason, token)
-        return refused(operation.operation_id, error.reason, error.retry_after_s, token)
+            return make_unknown_verdict(operation.operation_id, error.reason, token)
+        return make_refused_verdict(
+            operation.operation_id, error.reason, error.retry_after_s, token
+        )
 
     def _finish(self, operation: Operation, verdict: bytes) -> None:
         operation.verdict = verdict
@@ -213,7 +222,9 @@
             # The standby stores no large answers; it answers copies with "unknown" if
             # the owner fails.
             fresh_token = self._ports.fresh_token(operation.service)
-            verdict = unknown(operation.operation_id, Reason.HOME_LOST, fresh_token)
+            verdict = make_unknown_verdict(
+                operation.operation_id, Reason.HOME_LOST, fresh_token
+            )
         note = VerdictNote(operation_id=operation.operation_id, datagram=verdict)
         standby = operation.token.standby.address
         self._ports.send_peer(standby, Peer(verdict_note=note))
@@ -228,7 +239,7 @@
         indices : iterable of int
             Indices of the fragments.
         """
-        operation = self._table.find(operation_id)
+        operation = self._table.get(operation_id)
         if operation is None or operation.verdict is None:
             return
         datagrams = split_datagram(operation.verdict)
@@ -274,17 +285,17 @@
 
     async def _run_attempt(
         self, operation: Operation, queue: ServiceQueue, endpoint: Endpoint
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         started_s = self._ports.now_s()
         service_time_s = None
         try:
             operation.attempt += 1
             self._check_may_start(operation)
             if not operation.idempotent and operation.token.standby != NO_MEMBER:
-                await self.claims.ask(operation, endpoint)
+                await self.claims.request_claim(operation, endpoint)
                 self._check_may_start(operation)
             outcome = await self._attempts.run(operation, endpoint)
-            if outcome.end is End.ANSWERED:
+            if outcome.end is AttemptEnd.ANSWERED:
                 service_time_s = self._ports.now_s() - started_s
             return outcome
         finally:
@@ -312,52 +323,40 @@
         envelope : Envelope
             The reply.
         """
-        operation = self._table.find(operation_id)
+        operation = self._table.get(operation_id)
         if operation is None or operation.attempt != label.attempt:
             self._counters["reply_late"] += 1
             return
-        ends = {Kind.ANSWER: End.ANSWERED, Kind.SHED: End.SHED}
-        settle(operation, Outcome(ends[envelope.kind], envelope))
+        ends = {Kind.ANSWER: AttemptEnd.ANSWERED, Kind.SHED: AttemptEnd.SHED}
+        set_outcome(operation, AttemptOutcome(ends[envelope.kind], envelope))
 
     def on_cancel(self, operation_id: bytes) -> None:
-        """Cancel an operation for its caller.
-
-        Parameters
-        ----------
-        operation_id : bytes
-            The operation.
-        """
-        operation = self._table.find(operation_id)
+        """Cancel an operation for its caller."""
+        operation = self._table.get(operation_id)
         if operation is None or operation.verdict is not None:
             return
         operation.cancelled = True
         self._attempts.cancel(operation)
-        settle(operation, Outcome(End.CANCELLED))
+        set_outcome(operation, AttemptOutcome(AttemptEnd.CANCELLED))
 
     def on_endpoint_gone(self, endpoint: Endpoint) -> None:
-        """End the attempts in flight at a failed backend server.
-
-        Parameters
-        ----------
-        endpoint : Endpoint
-            The backend server.
-        """
+        """End the attempts in flight at a failed backend server."""
         for operation in self._running:
             if operation.endpoint is endpoint:
-                settle(operation, Outcome(End.LOST))
+                set_outcome(operation, AttemptOutcome(AttemptEnd.LOST))
 
     def _process_outcome(
         self,
         operation: Operation,
         queue: ServiceQueue,
         endpoint: Endpoint,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
     ) -> bytes | None:
         operation.endpoint = None
         operation.outcome = None
         now_s = self._ports.now_s()
-        if outcome.end is End.ANSWERED:
-            endpoint.succeed()
+        if outcome.end is AttemptEnd.ANSWERED:
+            endpoint.record_success()
             self._counters["answered"] += 1
             return Envelope(
                 kind=Kind.ANSWER,
@@ -366,33 +365,33 @@
                 token=self._ports.fresh_token(operation.service),
             ).SerializeToString()
 
-        if outcome.end is End.SHED:
+        if outcome.end is AttemptEnd.SHED:
             retry_after_s = outcome.reply.retry_after_ms / 1000
-            endpoint.fail(now_s, retry_after_s)
+            endpoint.record_failure(now_s, retry_after_s)
             self._counters["shed"] += 1
             if queue.spend_retry():
                 return None
             raise RefusedError(Reason.OVERLOADED, max(retry_after_s, 0.05))
 
-        timed_out = outcome.end is End.TIMED_OUT
+        timed_out = outcome.end is AttemptEnd.TIMED_OUT
         had_ample_time = timed_out and queue.has_ample_time(outcome.waited_s)
-        if outcome.end is End.LOST or had_ample_time:
-            endpoint.fail(now_s)
+        if outcome.end is AttemptEnd.LOST or had_ample_time:
+            endpoint.record_failure(now_s)
         in_time = now_s < operation.deadline_at_s and not operation.cancelled
         if operation.idempotent and in_time and queue.spend_retry():
             self._counters["retried"] += 1
             return None
         return self._unknown(operation, outcome.end)
 
-    def _unknown(self, operation: Operation, end: End) -> bytes:
+    def _unknown(self, operation: Operation, end: AttemptEnd) -> bytes:
         self._counters["unknown"] += 1
         reasons = {
-            End.LOST: Reason.BACKEND_LOST,
-            End.TIMED_OUT: Reason.DEADLINE,
-            End.CANCELLED: Reason.CANCELLED,
+            AttemptEnd.LOST: Reason.BACKEND_LOST,
+            AttemptEnd.TIMED_OUT: Reason.DEADLINE,
+            AttemptEnd.CANCELLED: Reason.CANCELLED,
         }
         fresh_token = self._ports.fresh_token(operation.service)
-        return unknown(operation.operation_id, reasons[end], fresh_token)
+        return make_unknown_verdict(operation.operation_id, reasons[end], fresh_token)
 
     def expire(self) -> None:
         """Delete verdicts whose retention time has passed."""
--- a/src/agatethread/operations/_queue.py
+++ b/src/agatethread/operations/_queue.py
@@ -173,7 +173,7 @@
         if wait_s == math.inf:
             wait_s = _NO_ENDPOINT_RETRY_AFTER_S
         turn_s = self._service_time_s / self._usual_slot_count
-        booked_s = self._retry_schedule.book(partner, wait_s, turn_s, self._now_s())
+        booked_s = self._retry_schedule.reserve(partner, wait_s, turn_s, self._now_s())
         urgency = self._document().urgency
         retry_after_s = choose_retry_after_s(booked_s, urgency, self._draw())
         return RefusedError(reason, retry_after_s)
@@ -209,9 +209,9 @@
         if service_time_s is not None:
             difference_s = service_time_s - self._service_time_s
             self._service_time_s += _SERVICE_TIME_SMOOTHING * difference_s
-        self.pump()
+        self.grant_waiting()
 
-    def pump(self) -> None:
+    def grant_waiting(self) -> None:
         """Grant free slots to queued requests; refuse those that can't be in time."""
         while self.waiting:
             endpoint = self._reserve_slot(None)
--- a/src/agatethread/operations/_records.py
+++ b/src/agatethread/operations/_records.py
@@ -40,14 +40,14 @@
 
 
 @dataclass(frozen=True)
-class Ports:
+class InstanceCallbacks:
     """Callables by which operations use the rest of the instance.
 
     Attributes
     ----------
     now_s : callable
         Monotonic clock.
-    me : callable
+    own_member : callable
         Returns the reference to this run of this instance.
     is_alive : callable
         Returns False if a run of another instance is known to have ended.
@@ -62,7 +62,7 @@
     """
 
     now_s: Callable[[], float]
-    me: Callable[[], MemberRef]
+    own_member: Callable[[], MemberRef]
     is_alive: Callable[[MemberRef], bool]
     send_peer: Callable[[bytes, Peer], None]
     send_backend: Callable[[bytes, bytes], None]
@@ -118,7 +118,7 @@
         """Whether no further record can be added."""
         return len(self._records) >= self._limit_count
 
-    def find(self, operation_id: bytes) -> _Record | None:
+    def get(self, operation_id: bytes) -> _Record | None:
         """Return the record of an operation.
 
         Parameters
@@ -170,7 +170,7 @@
             self._records.pop(operation_id, None)
 
 
-def refused(
+def make_refused_verdict(
     operation_id: bytes, reason: int, retry_after_s: float, token: bytes
 ) -> bytes:
     """Return the verdict that an operation did not run.
@@ -200,7 +200,7 @@
     ).SerializeToString()
 
 
-def unknown(operation_id: bytes, reason: int, token: bytes) -> bytes:
+def make_unknown_verdict(operation_id: bytes, reason: int, token: bytes) -> bytes:
     """Return the verdict that it is unknown whether an operation ran.
 
     Parameters
--- a/src/agatethread/registry/_answers.py
+++ b/src/agatethread/registry/_answers.py
@@ -202,9 +202,9 @@
             if pooled is None:
                 continue
             counts = AnswerCounts(pooled.answers, pooled.slow, pooled.failed)
-            whole = whole.plus(counts)
-            recent = recent.plus(_recent_of(pooled))
-            fresh = fresh.plus(AnswerCounts(pooled.fresh_answers, pooled.fresh_bad))
+            whole = whole.add(counts)
+            recent = recent.add(_recent_of(pooled))
+            fresh = fresh.add(AnswerCounts(pooled.fresh_answers, pooled.fresh_bad))
             good_since_bad += pooled.good_since_bad
             observers += pooled.observers
             answers, bad = by_domain.get(peer.failure_domain, (0, 0))
@@ -213,7 +213,7 @@
                 bad + counts.bad,
             )
         return Evidence(
-            whole=whole,
+            window=whole,
             recent=recent,
             fresh=fresh,
             good_since_bad=good_since_bad,
--- a/src/agatethread/routing/__init__.py
+++ b/src/agatethread/routing/__init__.py
@@ -1,34 +1,34 @@
 """Announced backend servers, routes and the selection of a backend server."""
 
 from agatethread.routing._choice import choose_for_request, choose_for_stream
-from agatethread.routing._endpoints import Endpoint, EndpointTable, Heard
+from agatethread.routing._endpoints import AnnouncementResult, Endpoint, EndpointTable
 from agatethread.routing._flows import FlowTable
 from agatethread.routing._open_flows import OpenFlowOutcome, judge_open_flow
 from agatethread.routing._table import (
     LOWEST_URGENCY,
     NO_ROUTES,
-    URGENCY_NOT_TOLD,
+    URGENCY_NOT_SET,
     ColdLimit,
     Route,
     RouteRule,
     RouteTable,
     RoutingDocument,
     Target,
+    add_earlier_services,
     check_document,
     decode_table,
     encode_table,
-    keep_earlier_services,
 )
 
 __all__ = [
     "ColdLimit",
     "LOWEST_URGENCY",
     "NO_ROUTES",
-    "URGENCY_NOT_TOLD",
+    "URGENCY_NOT_SET",
     "Endpoint",
     "EndpointTable",
     "FlowTable",
-    "Heard",
+    "AnnouncementResult",
     "OpenFlowOutcome",
     "Route",
     "RouteRule",
@@ -41,5 +41,5 @@
     "decode_table",
     "encode_table",
     "judge_open_flow",
-    "keep_earlier_services",
+    "add_earlier_services",
 ]
--- a/src/agatethread/routing/_choice.py
+++ b/src/agatethread/routing/_choice.py
@@ -17,7 +17,7 @@
 def _is_usable(endpoint: Endpoint, now_s: float) -> bool:
     if endpoint.gone or endpoint.drained or endpoint.closing:
         return False
-    if endpoint.out_of_sight or endpoint.weight <= 0:
+    if endpoint.is_unreachable or endpoint.weight <= 0:
         return False
     return endpoint.penalty_until_s <= now_s < endpoint.lease_until_s
 
--- a/src/agatethread/routing/_endpoints.py
+++ b/src/agatethread/routing/_endpoints.py
@@ -14,7 +14,7 @@
 _ESTABLISHED_S = 10.0
 
 
-class Heard(enum.Enum):
+class AnnouncementResult(enum.Enum):
     """Result of applying an announcement."""
 
     STALE = enum.auto()
@@ -50,7 +50,7 @@
         "inherited_streams",
         "inherited_until_s",
         "last_used_s",
-        "out_of_sight",
+        "is_unreachable",
         "lease_until_s",
         "penalty_until_s",
         "ramp_from_s",
@@ -71,7 +71,7 @@
         self.gone = False
         self.drained = False
         #: Whether its failure domain is unreachable from here.
-        self.out_of_sight = False
+        self.is_unreachable = False
         self.weight = 1.0
         self.streams = 0
         self.in_flight = 0
@@ -92,7 +92,7 @@
     @property
     def takes_new_work(self) -> bool:
         """Whether it may receive new flows and requests."""
-        return not (self.gone or self.drained or self.closing or self.out_of_sight)
+        return not (self.gone or self.drained or self.closing or self.is_unreachable)
 
     @property
     def stream_load(self) -> int:
@@ -147,7 +147,7 @@
         self.inherited_streams = min(self.inherited_streams, reported_streams)
         self.inherited_in_flight = min(self.inherited_in_flight, reported_in_flight)
 
-    def inherit(self, now_s: float) -> None:
+    def inherit_reported_load(self, now_s: float) -> None:
         """Set inherited counts from its report, on becoming its dispatcher.
 
         Parameters
@@ -171,11 +171,11 @@
         lease_until_s = now_s + self.announcement.lease_ms / 1000
         self.lease_until_s = max(self.lease_until_s, lease_until_s)
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Reset its consecutive failures after successful work."""
         self.failures = 0
 
-    def fail(self, now_s: float, retry_after_s: float = 0.0) -> None:
+    def record_failure(self, now_s: float, retry_after_s: float = 0.0) -> None:
         """Record a failure and avoid it for an exponential backoff.
 
         Parameters
@@ -198,9 +198,9 @@
         self.by_address: dict[bytes, Endpoint] = {}
         self._by_service: dict[str, dict[bytes, Endpoint]] = {}
 
-    def hear(
+    def apply_announcement(
         self, address: bytes, announcement: Announcement, now_s: float
-    ) -> tuple[Heard, Endpoint | None]:
+    ) -> tuple[AnnouncementResult, Endpoint | None]:
         """Apply an announcement.
 
         Parameters
@@ -214,12 +214,12 @@
 
         Returns
         -------
-        tuple of (Heard, Endpoint or None)
+        tuple of (AnnouncementResult, Endpoint or None)
             The result, and the run that was replaced at the address, if any.
         """
         current = self.by_address.get(address)
         if current is not None and announcement.incarnation < current.incarnation:
-            return Heard.STALE, None
+            return AnnouncementResult.STALE, None
         if current is not None and announcement.incarnation == current.incarnation:
             return self._refresh(current, announcement, now_s), None
 
@@ -231,7 +231,7 @@
             endpoint.ramp_from_s = -math.inf
         self.by_address[address] = endpoint
         self._by_service.setdefault(endpoint.service, {})[address] = endpoint
-        return Heard.CHANGED, current
+        return AnnouncementResult.CHANGED, current
 
     def _is_established(self, service: str, now_s: float) -> bool:
         # A ramp is relative to established backend servers; without any there is none.
@@ -242,15 +242,17 @@
 
     def _refresh(
         self, current: Endpoint, announcement: Announcement, now_s: float
-    ) -> Heard:
+    ) -> AnnouncementResult:
         if announcement.service != current.service:
-            return Heard.STALE
+            return AnnouncementResult.STALE
         order = (announcement.sequence, announcement.leaving)
         if order <= (current.announcement.sequence, current.announcement.leaving):
-            return Heard.STALE
+            return AnnouncementResult.STALE
 
         has_changed = current.refresh(announcement, now_s)
-        return Heard.CHANGED if has_changed else Heard.REFRESHED
+        return (
+            AnnouncementResult.CHANGED if has_changed else AnnouncementResult.REFRESHED
+        )
 
     def _delete(self, endpoint: Endpoint) -> None:
         endpoint.gone = True
@@ -306,7 +308,7 @@
                 if not endpoint.gone and endpoint.lease_until_s < now_s:
                     yield endpoint
 
-    def forget_gone(self, now_s: float, retention_s: float) -> None:
+    def delete_gone(self, now_s: float, retention_s: float) -> None:
         """Delete records of gone backend servers after a retention time.
 
         Parameters
--- a/src/agatethread/routing/_flows.py
+++ b/src/agatethread/routing/_flows.py
@@ -36,7 +36,7 @@
         """Whether no further flow can be added."""
         return len(self._placements) >= self._limit_count
 
-    def find(self, flow_id: int) -> Endpoint | None:
+    def get_endpoint(self, flow_id: int) -> Endpoint | None:
         """Return the backend server that a flow was placed on.
 
         Parameters
--- a/src/agatethread/routing/_table.py
+++ b/src/agatethread/routing/_table.py
@@ -18,11 +18,11 @@
 )
 
 #: Urgency of routes whose document sets none: below all that can be set.
-URGENCY_NOT_TOLD = 1_000
+URGENCY_NOT_SET = 1_000
 #: Largest value of a 32-bit field of a registry message.
 _MAX_TIMEOUT_MS = (1 << 32) - 1
 #: Highest number that a document may set; 0 is the most urgent.
-LOWEST_URGENCY = URGENCY_NOT_TOLD - 1
+LOWEST_URGENCY = URGENCY_NOT_SET - 1
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     targets: tuple[Target, ...]
     timeout_ms: int
     idempotent: bool = False
-    urgency: int = URGENCY_NOT_TOLD
+    urgency: int = URGENCY_NOT_SET
     aim_ms: int = 0
 
 
@@ -174,13 +174,13 @@
             aim_ms=rule.aim_ms,
             timeout_ms=min(rule.timeout_ms, _MAX_TIMEOUT_MS),
         )
-        if rule.urgency != URGENCY_NOT_TOLD:
+        if rule.urgency != URGENCY_NOT_SET:
             route.urgency = rule.urgency
         table.routes.append(route)
     return table
 
 
-def keep_earlier_services(table: RoutingTable, before: RoutingTable) -> None:
+def add_earlier_services(table: RoutingTable, before: RoutingTable) -> None:
     """Add to a table's routes the services that they had in earlier versions.
 
     Entry instances that start later need them to forward open flows.
@@ -231,7 +231,7 @@
     #: Whether callers may always retry its requests.
     idempotent: bool = False
     #: 0 is the most urgent.
-    urgency: int = URGENCY_NOT_TOLD
+    urgency: int = URGENCY_NOT_SET
     #: Time within which callers want an answer, and after which they discard it;
     #: infinity if not set or in a table of an earlier format.
     aim_s: float = inf
@@ -277,7 +277,7 @@
             targets=targets,
             services=frozenset(services),
             idempotent=route.idempotent,
-            urgency=route.urgency if route.HasField("urgency") else URGENCY_NOT_TOLD,
+            urgency=route.urgency if route.HasField("urgency") else URGENCY_NOT_SET,
             aim_s=route.aim_ms / 1000 or inf,
             timeout_s=route.timeout_ms / 1000 or inf,
         )
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -6,12 +6,12 @@
 
 from agatethread.balancing import (
     MAX_PLACEMENT_DELAY_S,
-    Elsewhere,
+    AdmissionDecision,
     GroupLoad,
     Opening,
-    Verdict,
+    PlacementAlternative,
+    decide_admission,
     expected_wait_s,
-    judge_opening,
     placement_deadline_s,
 )
 
@@ -25,53 +25,56 @@
 OPENINGS = st.builds(
     Opening,
     urgency=st.integers(0, 3),
-    asked_s=st.floats(0.0, 2.0),
+    requested_s=st.floats(0.0, 2.0),
     aim_s=st.sampled_from([0.1, 0.5, inf]),
     timeout_s=st.sampled_from([0.3, 2.0, inf]),
 )
 AHEAD_COUNTS = st.integers(0, 2_000)
 #: A wait of None is an unknown wait.
 ALTERNATIVES = st.none() | st.builds(
-    Elsewhere, st.none() | st.floats(0.0, 2.0), st.booleans()
+    PlacementAlternative, st.none() | st.floats(0.0, 2.0), st.booleans()
 )
 NOW_S = 2.0
 
 
-class TestJudgeOpening(unittest.TestCase):
+class TestDecideAdmission(unittest.TestCase):
     @given(OPENINGS, LOADS, AHEAD_COUNTS, ALTERNATIVES)
     def test_places_opening_while_slot_is_free(self, opening, load, ahead, alternative):
         """An opening is placed exactly if more slots are free than openings ahead."""
-        decision = judge_opening(opening, load, ahead, NOW_S, alternative)
-        self.assertEqual(decision is Verdict.PLACE, load.free_count > ahead)
+        decision = decide_admission(opening, load, ahead, NOW_S, alternative)
+        self.assertEqual(decision is AdmissionDecision.PLACE, load.free_count > ahead)
 
     @given(OPENINGS, LOADS, AHEAD_COUNTS, ALTERNATIVES)
     def test_queues_only_openings_that_meet_their_deadline(
         self, opening, load, ahead, alternative
     ):
         """An opening is queued if its caller still waits then, and else refused."""
-        decision = judge_opening(opening, load, ahead, NOW_S, alternative)
+        decision = decide_admission(opening, load, ahead, NOW_S, alternative)
         wait_s = expected_wait_s(load, ahead)
-        if decision is Verdict.WAIT:
+        if decision is AdmissionDecision.WAIT:
             self.assertLessEqual(NOW_S + wait_s, placement_deadline_s(opening))
-        if decision is Verdict.REFUSE:
+        if decision is AdmissionDecision.REFUSE:
             self.assertGreater(NOW_S + wait_s, placement_deadline_s(opening))
 
     @given(OPENINGS, LOADS, AHEAD_COUNTS, ALTERNATIVES)
     def test_hands_over_only_for_shorter_wait(self, opening, load, ahead, alternative):
         """An opening is handed over only to an alternative with a shorter wait."""
         wait_s = expected_wait_s(load, ahead)
-        decision = judge_opening(opening, load, ahead, NOW_S, alternative)
-        if decision is Verdict.HAND_OVER:
+        decision = decide_admission(opening, load, ahead, NOW_S, alternative)
+        if decision is AdmissionDecision.HAND_OVER:
             self.assertLess(alternative.wait_s or 0.0, wait_s)
-        decision = judge_opening(opening, load, ahead, NOW_S, None)
-        self.assertIsNot(decision, Verdict.HAND_OVER)
+        decision = decide_admission(opening, load, ahead, NOW_S, None)
+        self.assertIsNot(decision, AdmissionDecision.HAND_OVER)
 
     def test_other_failure_domain_needs_larger_margin(self):
         """Handing over to another failure domain needs a larger gain in wait time."""
         opening, load = Opening(1, NOW_S, 0.4, 2.0), GroupLoad(0, 4, 5, 0.02)
-        for crosses, expected in ((False, Verdict.HAND_OVER), (True, Verdict.WAIT)):
-            alternative = Elsewhere(0.0, crosses)
-            decision = judge_opening(opening, load, 4, NOW_S, alternative)
+        for crosses, expected in (
+            (False, AdmissionDecision.HAND_OVER),
+            (True, AdmissionDecision.WAIT),
+        ):
+            alternative = PlacementAlternative(0.0, crosses)
+            decision = decide_admission(opening, load, 4, NOW_S, alternative)
             self.assertIs(decision, expected)
 
     @given(LOADS, AHEAD_COUNTS)
@@ -83,7 +86,7 @@
     @given(OPENINGS)
     def test_placement_deadline_is_bounded(self, opening):
         """The deadline is within the maximum delay and the opening's timeout."""
-        latest_s = placement_deadline_s(opening) - opening.asked_s
+        latest_s = placement_deadline_s(opening) - opening.requested_s
         self.assertLessEqual(
             latest_s, min(MAX_PLACEMENT_DELAY_S, opening.timeout_s) + 1e-9
         )
--- a/tests/balancing/test_dispatchers.py
+++ b/tests/balancing/test_dispatchers.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from agatethread.balancing import choose_dispatchers, share_out
+from agatethread.balancing import assign_servers, choose_dispatchers
 from tests.fakes import address
 
 ENTRIES = st.sets(st.integers(1, 300), max_size=60)
@@ -19,7 +19,7 @@
 
 def dispatcher_by_server(server_ids, dispatchers):
     """Return the dispatcher that each server is assigned to."""
-    shares = share_out(server_ids, dispatchers)
+    shares = assign_servers(server_ids, dispatchers)
     return {
         server_id: dispatcher
         for dispatcher, assigned in shares.items()
@@ -47,11 +47,11 @@
         self.assertLessEqual(set(chosen), set(packed(entries)))
 
 
-class TestShareOut(unittest.TestCase):
+class TestAssignServers(unittest.TestCase):
     @given(SERVERS, DISPATCHERS, st.randoms())
     def test_assignment_is_complete_and_balanced(self, servers, dispatchers, draw):
         """Each server is assigned once, evenly, and independently of order."""
-        shares = share_out(sorted(servers), packed(dispatchers))
+        shares = assign_servers(sorted(servers), packed(dispatchers))
         all_assigned = sorted(
             server_id for assigned in shares.values() for server_id in assigned
         )
@@ -61,12 +61,12 @@
         shuffled, others = list(servers), packed(dispatchers)
         draw.shuffle(shuffled)
         draw.shuffle(others)
-        again = share_out(shuffled, others)
+        again = assign_servers(shuffled, others)
         self.assertEqual(again, shares)
 
     def test_no_dispatchers_no_assignment(self):
         """Without dispatchers no server is assigned."""
-        self.assertEqual(share_out([1, 2], []), {})
+        self.assertEqual(assign_servers([1, 2], []), {})
 
     def count_reassigned(self, modify):
         """Return mean and maximum of the remaining servers that are reassigned."""
--- a/tests/balancing/test_turns.py
+++ b/tests/balancing/test_fair_queue.py
@@ -40,7 +40,7 @@
     return fair_queue, reference
 
 
-class TestFairTurns(unittest.TestCase):
+class TestFairQueue(unittest.TestCase):
     @given(ITEMS, st.lists(st.integers(0, 39)), st.integers(0, 10))
     def test_order_matches_reference(self, items, removed, popped):
         """Owners take turns and items leave by due time, also after removals."""
--- a/tests/balancing/test_fairness.py
+++ b/tests/balancing/test_fairness.py
@@ -4,7 +4,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from agatethread.balancing import CallerShares, Opening, WaitingLine, rank_opening
+from agatethread.balancing import (
+    CallerShares,
+    Opening,
+    OpeningQueue,
+    apply_caller_share,
+)
 from agatethread.balancing._fairness import (
     _MIN_OVERUSE_COUNT,
     _OVERUSE_FACTOR,
@@ -39,7 +44,7 @@
     def error(self, limit_count):
         return sum(len(window) // (limit_count + 1) for window in self.windows)
 
-    def is_over(self, caller):
+    def exceeds_share(self, caller):
         own, others = self.callers.count(caller), set(self.callers) - {caller}
         if own <= _MIN_OVERUSE_COUNT or not others:
             return False
@@ -51,7 +56,7 @@
     shares, recorded, now_s = CallerShares(limit_count), [], 7.3
     for caller, pause_s in openings:
         now_s += pause_s
-        shares.note(caller, now_s)
+        shares.record(caller, now_s)
         recorded.append((caller, now_s))
         yield shares, recorded, now_s
 
@@ -73,7 +78,9 @@
         """With fewer callers than rows the result is that of exact counts."""
         for shares, recorded, now_s in record_openings(openings, 64):
             caller, exact = recorded[-1][0], ExactCounts(recorded, now_s)
-            self.assertEqual(shares.is_over(caller, now_s), exact.is_over(caller))
+            self.assertEqual(
+                shares.exceeds_share(caller, now_s), exact.exceeds_share(caller)
+            )
 
     @given(OPENINGS, st.integers(1, 12))
     def test_caller_within_share_is_never_reported(self, openings, limit_count):
@@ -81,8 +88,8 @@
         for shares, recorded, now_s in record_openings(openings, limit_count):
             exact = ExactCounts(recorded, now_s)
             for caller in set(exact.callers):
-                if shares.is_over(caller, now_s):
-                    self.assertTrue(exact.is_over(caller))
+                if shares.exceeds_share(caller, now_s):
+                    self.assertTrue(exact.exceeds_share(caller))
 
     def test_callers_that_lost_their_rows_count_once(self):
         """Callers that lost their row in the previous window are not counted as new."""
@@ -91,13 +98,13 @@
         for caller, opened_s in [(caller_id, 0.1) for caller_id in first] + [
             (caller_id, 0.6) for caller_id in [*range(1, 12)] * 3 + [0] * 20
         ]:
-            shares.note(caller, opened_s)
+            shares.record(caller, opened_s)
             recorded.append((caller, opened_s))
-        self.assertFalse(ExactCounts(recorded, 0.6).is_over(0))
-        self.assertFalse(shares.is_over(0, 0.6))
+        self.assertFalse(ExactCounts(recorded, 0.6).exceeds_share(0))
+        self.assertFalse(shares.exceeds_share(0, 0.6))
 
 
-class TestIsOver(unittest.TestCase):
+class TestExceedsShare(unittest.TestCase):
     def simulate(self, rates, seconds, seed=1):
         """Simulate Poisson arrivals; return the time each caller first exceeded."""
         draw, shares, exceeded_since_s = random.Random(seed), CallerShares(), {}
@@ -105,8 +112,8 @@
         while now_s < seconds:
             now_s += draw.expovariate(total)
             (caller,) = draw.choices(callers, rates.values())
-            shares.note(caller, now_s)
-            if shares.is_over(caller, now_s):
+            shares.record(caller, now_s)
+            if shares.exceeds_share(caller, now_s):
                 exceeded_since_s.setdefault(caller, now_s)
         return exceeded_since_s
 
@@ -134,27 +141,27 @@
         """Openings no longer count once both windows have passed."""
         shares = CallerShares()
         for index in range(100):
-            shares.note(index % 10 if index < 50 else 99, 0.4)
-        self.assertTrue(shares.is_over(99, 0.9))
-        self.assertFalse(shares.is_over(99, 1.4))
+            shares.record(index % 10 if index < 50 else 99, 0.4)
+        self.assertTrue(shares.exceeds_share(99, 0.9))
+        self.assertFalse(shares.exceeds_share(99, 1.4))
 
 
-class TestRankOpening(unittest.TestCase):
+class TestApplyCallerShare(unittest.TestCase):
     @given(st.integers(0, 255), st.integers(0, 255), st.integers(1, 9))
     def test_ranks_last_only_while_others_wait(self, own, other, waiting):
         """The opening ranks below the least urgent; unchanged if no other waits."""
         opening = Opening(own, 0.0)
-        demoted = rank_opening(opening, True, waiting)
+        demoted = apply_caller_share(opening, True, waiting)
         self.assertGreater(demoted.rank, Opening(other, 0.0).rank)
         self.assertEqual(demoted.urgency, own)
-        self.assertEqual(rank_opening(opening, True, 0), opening)
-        self.assertEqual(rank_opening(opening, False, waiting), opening)
+        self.assertEqual(apply_caller_share(opening, True, 0), opening)
+        self.assertEqual(apply_caller_share(opening, False, waiting), opening)
 
     def test_reserved_placements_exclude_callers_over_their_share(self):
         """All other openings are placed first, whatever their time and urgency."""
-        queue = WaitingLine()
+        queue = OpeningQueue()
         for index in range(60):
             opening = Opening(index % 3, 0.01 * index, aim_s=0.4)
-            queue.push(rank_opening(opening, index < 20, 1), index, index, 0.6)
+            queue.push(apply_caller_share(opening, index < 20, 1), index, index, 0.6)
         order = [queue.pop(0.6) for _ in range(60)]
         self.assertEqual(set(order[:40]), set(range(20, 60)))
--- a/tests/balancing/test_return.py
+++ b/tests/balancing/test_retry_schedule.py
@@ -34,14 +34,14 @@
             self.assertGreater(spreads[0], 0.0)
 
 
-class TestReturnTimes(unittest.TestCase):
+class TestRetrySchedule(unittest.TestCase):
     @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 3)), min_size=1))
     def test_booked_times_are_a_turn_apart(self, refusals):
         """Times are a turn apart, not before the wait and not above the bound."""
         schedule, last_s, now_s = RetrySchedule(), 0.0, 0.0
         for pause_s, wait_s in refusals:
             now_s += pause_s
-            retry_after_s = schedule.book("p", wait_s, 0.02, now_s)
+            retry_after_s = schedule.reserve("p", wait_s, 0.02, now_s)
             self.assertGreaterEqual(retry_after_s, wait_s)
             self.assertLessEqual(retry_after_s, 30.0)
             if retry_after_s < 29.9 and last_s:
@@ -54,7 +54,7 @@
             schedule, draw = RetrySchedule(), random.Random(1)
             retry_times_s = sorted(
                 choose_retry_after_s(
-                    schedule.book("p", 0.5, 0.005, 0.0), urgency, draw.random()
+                    schedule.reserve("p", 0.5, 0.005, 0.0), urgency, draw.random()
                 )
                 for _ in range(1_000)
             )
@@ -66,11 +66,11 @@
                 self.assertAlmostEqual(retry_count, 200, delta=20)
 
     def test_owner_with_many_callers_does_not_delay_another(self):
-        """The first few callers of another owner are booked in turn with the many."""
+        """The first few callers of another owner are reserved in turn with the many."""
         schedule = RetrySchedule()
         for _ in range(2_000):
-            schedule.book("big", 0.5, 0.005, 0.0)
-        retry_after_s = [schedule.book("small", 0.5, 0.005, 0.0) for _ in range(3)]
+            schedule.reserve("big", 0.5, 0.005, 0.0)
+        retry_after_s = [schedule.reserve("small", 0.5, 0.005, 0.0) for _ in range(3)]
         self.assertLess(max(retry_after_s), 0.5 + 3 * 2 * 0.005 + 1e-9)
 
     @given(
@@ -82,22 +82,22 @@
         schedule, single_line, now_s = RetrySchedule(), RetrySchedule(), 0.0
         for owner, pause_s in refusals:
             now_s += pause_s
-            retry_after_s = schedule.book(owner, 0.5, turn_s, now_s)
+            retry_after_s = schedule.reserve(owner, 0.5, turn_s, now_s)
             self.assertLessEqual(
-                retry_after_s, single_line.book("", 0.5, turn_s, now_s) + 1e-9
+                retry_after_s, single_line.reserve("", 0.5, turn_s, now_s) + 1e-9
             )
             self.assertGreaterEqual(retry_after_s, 0.5)
             self.assertLessEqual(len(schedule), 3)
 
     def test_past_owners_are_removed(self):
-        """Owners are removed once their booked times have passed."""
+        """Owners are removed once their reserved times have passed."""
         schedule = RetrySchedule()
         for index in range(1_000):
-            schedule.book(f"name-{index}", 0.0, 0.001, index / 10)
+            schedule.reserve(f"name-{index}", 0.0, 0.001, index / 10)
         self.assertLess(len(schedule), 3)
 
     def test_overbooking_is_bounded(self):
-        """No second is booked for more than 1.5 times what can be served."""
+        """No second is reserved for more than 1.5 times what can be served."""
         draw = random.Random(1)
         owner_orders = {
             "mixed": [draw.randrange(50) for _ in range(1_000)],
@@ -107,7 +107,7 @@
         for name, owners in owner_orders.items():
             schedule = RetrySchedule()
             retry_times_s = [
-                schedule.book(str(owner), 0.0, 0.005, 0.0) for owner in owners
+                schedule.reserve(str(owner), 0.0, 0.005, 0.0) for owner in owners
             ]
             retry_count = Counter(int(time_s) for time_s in retry_times_s)
             with self.subTest(name):
--- a/tests/operations/test_queue.py
+++ b/tests/operations/test_queue.py
@@ -21,7 +21,7 @@
     loop = asyncio.get_running_loop()
     table = EndpointTable()
     announced = announcement(slots=slots, lease_ms=600_000)
-    table.hear(address(1), announced, loop.time())
+    table.apply_announcement(address(1), announced, loop.time())
     document = ServiceDocument("tab", 1, **fields)
     return ServiceQueue(lambda: document, lambda: table.of_service("tab"), loop.time)
 
@@ -288,7 +288,7 @@
                 draw.random,
             )
             announced = announcement(slots=self.SLOTS, lease_ms=600_000)
-            table.hear(address(1), announced, loop.time())
+            table.apply_announcement(address(1), announced, loop.time())
             queue.expected_wait_s()
             (endpoint,) = table.of_service("tab")
             endpoint.drained = True
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -15,7 +15,7 @@
 from agatethread.exceptions import DocumentError, FieldError
 from agatethread.routing import (
     LOWEST_URGENCY,
-    URGENCY_NOT_TOLD,
+    URGENCY_NOT_SET,
     ColdLimit,
     Target,
     check_document,
@@ -88,7 +88,7 @@
         """Urgency and aim, where the body tells them; any priority is taken."""
         first, second = decode_configuration(json.dumps(CONFIGURATION).encode()).rules
         self.assertEqual((first.urgency, first.aim_ms), (1, 150))
-        self.assertEqual((second.urgency, second.aim_ms), (URGENCY_NOT_TOLD, 0))
+        self.assertEqual((second.urgency, second.aim_ms), (URGENCY_NOT_SET, 0))
         path = ("routes", 0, "priority")
         lowest = decode_configuration(changed(CONFIGURATION, path, 1 << 40)).rules[0]
         self.assertEqual(lowest.urgency, LOWEST_URGENCY)
--- a/tests/registry/test_answers.py
+++ b/tests/registry/test_answers.py
@@ -28,7 +28,7 @@
         self.take(b"3", (7, 4, 0, 0), domain="b")
         one = self.pool.evidence(10.1)[7]
         self.assertEqual(
-            (one.whole.answers, one.whole.slow, one.whole.failed), (9, 1, 1)
+            (one.window.answers, one.window.slow, one.window.failed), (9, 1, 1)
         )
         self.assertEqual((one.observers, one.domains, one.bad_domains), (2, 2, 1))
 
@@ -36,7 +36,7 @@
         """A sum leaves the newest part first, then the window."""
         self.take(b"1", (7, 3, 1, 0))
         self.assertEqual(self.pool.evidence(10.0 + RECENT_S)[7].recent.answers, 0)
-        self.assertEqual(self.pool.evidence(10.0 + RECENT_S)[7].whole.answers, 3)
+        self.assertEqual(self.pool.evidence(10.0 + RECENT_S)[7].window.answers, 3)
         self.assertEqual(self.pool.evidence(10.0 + WINDOW_S), {})
         self.assertEqual(self.pool._told, {})
         self.assertEqual(self.pool.reporters(10.0 + 5.0), [])
@@ -54,7 +54,7 @@
         self.take(b"slow", *[(label, 1, 1, 0) for label in range(1, 8)])
         self.take(b"2", *[(label, 2, 0, 0) for label in range(1, 8)])
         for one in self.pool.evidence(10.1).values():
-            self.assertEqual((one.whole.answers, one.whole.bad), (2, 0))
+            self.assertEqual((one.window.answers, one.window.bad), (2, 0))
 
     def exchange(self, now_s):
         """Let both control instances tell each other once."""
@@ -74,7 +74,7 @@
         self.assertEqual(self.exchange(10.3), [1, 1])
         for pool in (self.pool, self.other):
             one = pool.evidence(10.4)[7]
-            self.assertEqual((one.whole.answers, one.whole.bad), (6, 3))
+            self.assertEqual((one.window.answers, one.window.bad), (6, 3))
             self.assertEqual((one.domains, one.bad_domains), (2, 1))
 
     def test_answering_a_doubt_raises_none(self):
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -5,9 +5,9 @@
 from hypothesis import strategies as st
 
 from agatethread.routing import (
+    AnnouncementResult,
     EndpointTable,
     FlowTable,
-    Heard,
     choose_for_request,
     choose_for_stream,
 )
@@ -20,7 +20,9 @@
     table = EndpointTable()
     fields = {"lease_ms": 600_000} | fields
     for number in range(count):
-        table.hear(address(number + 1), announcement(number, **fields), now_s)
+        table.apply_announcement(
+            address(number + 1), announcement(number, **fields), now_s
+        )
     return table
 
 
@@ -37,7 +39,9 @@
         """Backend servers announced within a short time share new flows evenly."""
         table = EndpointTable()
         for number in range(7):
-            table.hear(address(number + 1), announcement(number), number * 0.15)
+            table.apply_announcement(
+                address(number + 1), announcement(number), number * 0.15
+            )
         place(table, 350, 1.5, FlowTable(1000))
         loads = [endpoint.streams for endpoint in table.of_service("tab")]
         self.assertLessEqual(max(loads) * 7 / sum(loads), 1.05)
@@ -47,7 +51,7 @@
         table = make_table(2)
         flows = FlowTable(10_000)
         place(table, 200, 50.0, flows)
-        table.hear(address(9), announcement(9, lease_ms=600_000), 50.0)
+        table.apply_announcement(address(9), announcement(9, lease_ms=600_000), 50.0)
         place(table, 20, 50.5, flows, 200)
         joining = table.by_address[address(9)]
         self.assertLess(joining.streams, 15)
@@ -66,7 +70,9 @@
     def test_draining_backend_server_gets_no_new_flow(self):
         """A backend server that is draining or was drained gets no new flow."""
         table = make_table(3)
-        table.hear(address(1), announcement(0, sequence=2, draining=True), 1.0)
+        table.apply_announcement(
+            address(1), announcement(0, sequence=2, draining=True), 1.0
+        )
         table.by_address[address(2)].drained = True
         place(table, 10, 2.0, FlowTable(100))
         loads = [table.by_address[address(number)].streams for number in (1, 2, 3)]
@@ -78,7 +84,7 @@
         flows = FlowTable(1000)
         for step in range(40):
             report = announcement(0, sequence=step + 2, open_streams=0, in_flight=0)
-            table.hear(address(1), report, 1.0)
+            table.apply_announcement(address(1), report, 1.0)
             place(table, 10, 1.0, flows, step * 10)
         loads = [endpoint.streams for endpoint in table.of_service("tab")]
         self.assertEqual(loads, [100] * 4)
@@ -87,9 +93,11 @@
         """After a takeover reported flows count as load until they close."""
         table = make_table(2, open_streams=0)
         first_endpoint, second_endpoint = table.of_service("tab")
-        table.hear(address(1), announcement(0, sequence=2, open_streams=50), 1.0)
-        first_endpoint.inherit(1.0)
-        second_endpoint.inherit(1.0)
+        table.apply_announcement(
+            address(1), announcement(0, sequence=2, open_streams=50), 1.0
+        )
+        first_endpoint.inherit_reported_load(1.0)
+        second_endpoint.inherit_reported_load(1.0)
         flows = FlowTable(1000)
         place(table, 50, 1.0, flows)
         self.assertEqual((first_endpoint.streams, second_endpoint.streams), (0, 50))
@@ -120,7 +128,7 @@
             endpoint = choose_for_request(table.of_service("tab"), now_s, 0.0, None)
             pick_count[endpoint is failing] += 1
             if endpoint is failing:
-                failing.fail(now_s)
+                failing.record_failure(now_s)
         self.assertLess(pick_count[True], 10)
 
     def test_retry_avoids_failed_backend_server(self):
@@ -141,9 +149,9 @@
         newest = (0, 0)
         for incarnation, sequence in announced:
             received = announcement(incarnation=incarnation, sequence=sequence)
-            result, _ = table.hear(address(1), received, 0.0)
+            result, _ = table.apply_announcement(address(1), received, 0.0)
             if (incarnation, sequence) <= newest:
-                self.assertIs(result, Heard.STALE)
+                self.assertIs(result, AnnouncementResult.STALE)
             newest = max(newest, (incarnation, sequence))
             kept = table.by_address[address(1)].announcement
             self.assertEqual((kept.incarnation, kept.sequence), newest)
@@ -152,4 +160,7 @@
         """An announcement of another service with the same incarnation is stale."""
         table = make_table(1)
         received = announcement(service="receipts", sequence=9)
-        self.assertIs(table.hear(address(1), received, 0.0)[0], Heard.STALE)
+        self.assertIs(
+            table.apply_announcement(address(1), received, 0.0)[0],
+            AnnouncementResult.STALE,
+        )
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -11,15 +11,15 @@
     UnknownServiceError,
 )
 from agatethread.routing import (
-    URGENCY_NOT_TOLD,
+    URGENCY_NOT_SET,
     ColdLimit,
     RouteRule,
     RoutingDocument,
     Target,
+    add_earlier_services,
     check_document,
     decode_table,
     encode_table,
-    keep_earlier_services,
 )
 from agatethread.wire.registry_pb2 import RoutingTable
 
@@ -44,7 +44,7 @@
         later = encode_table(
             RoutingDocument(2, ("archive",), (), (ColdLimit("archive", 0.0),))
         )
-        keep_earlier_services(later, before)
+        add_earlier_services(later, before)
         self.assertEqual(decode_table(before).cold_rates_per_s, {"archive": 20.0})
         self.assertEqual(decode_table(later).cold_rates_per_s, {"archive": 0.0})
 
@@ -58,7 +58,7 @@
         table = decode_table(encode_table(document(most_urgent, without_urgency)))
         route, other = table.routes[1, 443], table.routes[1, 444]
         self.assertEqual((route.urgency, route.aim_s, route.timeout_s), (0, 0.4, 2.0))
-        self.assertEqual((other.urgency, other.aim_s), (URGENCY_NOT_TOLD, inf))
+        self.assertEqual((other.urgency, other.aim_s), (URGENCY_NOT_SET, inf))
 
     def test_table_of_earlier_format_is_decoded(self):
         """A stored table without urgency and times gets the defaults."""
@@ -66,7 +66,7 @@
         before.routes.add(host=1, port=443).targets.add(weight=1)
         route = decode_table(before).routes[1, 443]
         decoded = (route.urgency, route.aim_s, route.timeout_s)
-        self.assertEqual(decoded, (URGENCY_NOT_TOLD, inf, inf))
+        self.assertEqual(decoded, (URGENCY_NOT_SET, inf, inf))
 
 
 class TestCheckDocument(unittest.TestCase):
@@ -110,11 +110,11 @@
         """A route still allows open flows of the services that it had earlier."""
         first = encode_table(document(rule(service="tab")))
         second = encode_table(document(rule(service="archive"), version=2))
-        keep_earlier_services(second, first)
+        add_earlier_services(second, first)
         third = encode_table(
             document(rule(service="new"), version=3, services=("new",))
         )
-        keep_earlier_services(third, second)
+        add_earlier_services(third, second)
         route = decode_table(third).routes[0xC6120001, 443]
         self.assertEqual(route.targets, (Target("new", 1),))
         self.assertEqual(route.services, {"tab", "archive", "new"})
@@ -123,9 +123,9 @@
         """A route that was removed in between has no earlier services."""
         first = encode_table(document(rule(service="tab")))
         without = encode_table(document(version=2))
-        keep_earlier_services(without, first)
+        add_earlier_services(without, first)
         third = encode_table(document(rule(service="archive"), version=3))
-        keep_earlier_services(third, without)
+        add_earlier_services(third, without)
         route = decode_table(third).routes[0xC6120001, 443]
         self.assertEqual(route.services, {"archive"})
 
@@ -152,7 +152,7 @@
                 document(*rules, version=number, services=tuple(services))
             )
             if before is not None:
-                keep_earlier_services(table, before)
+                add_earlier_services(table, before)
             expected = {
                 port: expected.get(port, set()) | {to} for port, to in routes.items()
             }
