--- a/src/agatethread/datapath/_judging.py
+++ b/src/agatethread/datapath/_answer_reports.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Sequence
 from math import inf
 
-from agatethread.datapath._answers import AnswerWatch
+from agatethread.datapath._answers import AnswerMonitor
 from agatethread.datapath._backends import BackendView
 from agatethread.datapath._forwarder import LabelForwarder
 from agatethread.datapath._weights import RunWeightStore
@@ -16,7 +16,7 @@
 REPORT_INTERVAL_S = 0.2
 
 
-class AnswerReports:
+class AnswerReporter:
     """Sends reports of answers to a control instance, and receives weights.
 
     Parameters
@@ -53,7 +53,7 @@
         self._send = send
         self._now_s = now_s
         self._counters = counters
-        self._monitor = forwarder.loads.watch = AnswerWatch(self._aim_of, now_s())
+        self._monitor = forwarder.loads.watch = AnswerMonitor(self._aim_of, now_s())
         self._weights = RunWeightStore(view.find)
 
     def _aim_of(self, host: int, port: int) -> float:
--- a/src/agatethread/datapath/_answers.py
+++ b/src/agatethread/datapath/_answers.py
@@ -106,7 +106,7 @@
     return min(aim_s, max(min_s, _SLOW_FACTOR * usual_s))
 
 
-class AnswerWatch:
+class AnswerMonitor:
     """Counts the answers of each run between two collections.
 
     Parameters
@@ -124,7 +124,7 @@
         self._sums: dict[Backend, AnswerSum] = {}
         self._collected_s = now_s
 
-    def ask(self, key: FlowKey, backend: Backend, now_s: float) -> None:
+    def on_request(self, key: FlowKey, backend: Backend, now_s: float) -> None:
         """Record a request that a caller sends on an open flow.
 
         Parameters
@@ -138,7 +138,7 @@
         """
         self._pending[key] = PendingRequest(backend, now_s)
 
-    def answer(
+    def on_answer(
         self, key: FlowKey, answer_bytes: int, is_prompt: bool, now_s: float
     ) -> None:
         """Record that a caller acknowledges an answer, or its beginning.
@@ -168,7 +168,7 @@
             baseline.answer_s.add(took_s)
             baseline.answer_bytes.add(answer_bytes)
 
-    def end(self, key: FlowKey) -> None:
+    def on_flow_end(self, key: FlowKey) -> None:
         """Record the end of a flow; a request without an answer has failed.
 
         Parameters
@@ -180,7 +180,7 @@
         if pending is not None and not pending.is_counted:
             self._count(pending.backend, failed=True)
 
-    def forget(self, key: FlowKey) -> None:
+    def discard(self, key: FlowKey) -> None:
         """Delete a request whose answer is not visible to this instance.
 
         Parameters
@@ -190,7 +190,7 @@
         """
         self._pending.pop(key, None)
 
-    def leave(self, backend: Backend) -> None:
+    def on_unanswered_opening(self, backend: Backend) -> None:
         """Record that an opening is retried at another run for lack of an answer.
 
         Parameters
--- a/src/agatethread/datapath/_joining.py
+++ b/src/agatethread/datapath/_assembly.py
@@ -7,8 +7,8 @@
 from agatethread.datapath._forwarder import LabelForwarder
 from agatethread.datapath._packets import PacketCodec
 from agatethread.datapath._placing import accepts_new_flows
+from agatethread.datapath._received_openings import OpeningActions
 from agatethread.datapath._shared_placing import SharedPlacing
-from agatethread.datapath._taken import OpeningActions
 from agatethread.observability import Counters
 from agatethread.settings import Policies
 from agatethread.wire.registry_pb2 import RegistryMessage
--- a/src/agatethread/datapath/_dispatching.py
+++ b/src/agatethread/datapath/_dispatching.py
@@ -21,16 +21,20 @@
 )
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._groups import ServerGroups
-from agatethread.datapath._handing_over import OtherDispatchers
-from agatethread.datapath._packets import FlowKey, Packet, pack_flow
-from agatethread.datapath._places import PlaceCounts
-from agatethread.datapath._placing import choose_place
-from agatethread.datapath._taken import OpeningActions, ReceivedOpening, make_handover
-from agatethread.datapath._telling import (
+from agatethread.datapath._handover import OtherDispatchers
+from agatethread.datapath._load_reports import (
     LIVENESS_INTERVAL_S,
     LOAD_INTERVAL_S,
     LoadReporter,
 )
+from agatethread.datapath._packets import FlowKey, Packet, pack_flow
+from agatethread.datapath._places import PlaceCounts
+from agatethread.datapath._placing import choose_place
+from agatethread.datapath._received_openings import (
+    OpeningActions,
+    ReceivedOpening,
+    make_handover,
+)
 from agatethread.observability import Counters, Event, Histogram, make_logger
 from agatethread.routing import Route
 from agatethread.settings import DEFAULT_POLICIES, Policies
@@ -96,18 +100,7 @@
         self.waited_s = Histogram()
 
     def serves(self, service: str) -> bool:
-        """Return whether this dispatcher has a usable server of a service.
-
-        Parameters
-        ----------
-        service : str
-            The service.
-
-        Returns
-        -------
-        bool
-            Whether one accepts new flows.
-        """
+        """Return whether a server of a service accepts new flows here."""
         return bool(self._servers_of(service))
 
     def waiting_count(self) -> int:
--- a/src/agatethread/datapath/_flows.py
+++ b/src/agatethread/datapath/_flows.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Collection
 
-from agatethread.datapath._answers import AnswerWatch
+from agatethread.datapath._answers import AnswerMonitor
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._packets import FlowKey, Packet
 from agatethread.observability import Histogram
@@ -73,7 +73,7 @@
         #: Runs that flows have waited for since the last call of `waited_for`.
         self._waited_runs: set[Backend] = set()
         #: Set if the quality of answers is measured.
-        self.watch: AnswerWatch | None = None
+        self.watch: AnswerMonitor | None = None
         #: Time from an opening and from a request to the answer.
         self.opening_s = Histogram()
         self.answer_s = Histogram()
@@ -115,7 +115,7 @@
                 return
         elif flow.backend is not backend:
             if self.watch and flow.busy and not flow.opened:
-                self.watch.leave(flow.backend)
+                self.watch.on_unanswered_opening(flow.backend)
             flow.tried += (flow.backend,)
             self._move(flow, backend)
         flow.waits_since_s = now_s
@@ -171,14 +171,14 @@
 
     @staticmethod
     def _record_close(
-        watch: AnswerWatch, flow: Flow, packet: Packet, now_s: float
+        watch: AnswerMonitor, flow: Flow, packet: Packet, now_s: float
     ) -> None:
         """Record the end of a flow and an answer that its last packet acknowledges."""
         previous = flow.acknowledged
         if previous is not None and _is_after(packet.acknowledged, previous):
             answer_bytes = (packet.acknowledged - previous) & _SEQUENCE_MASK
-            watch.answer(packet.key, answer_bytes, not packet.payload_bytes, now_s)
-        watch.end(packet.key)
+            watch.on_answer(packet.key, answer_bytes, not packet.payload_bytes, now_s)
+        watch.on_flow_end(packet.key)
 
     def _record_answer(self, flow: Flow, packet: Packet, now_s: float) -> None:
         previous = flow.acknowledged
@@ -191,7 +191,7 @@
             if self.watch:
                 answer_bytes = (packet.acknowledged - previous) & _SEQUENCE_MASK
                 is_prompt = not packet.payload_bytes
-                self.watch.answer(packet.key, answer_bytes, is_prompt, now_s)
+                self.watch.on_answer(packet.key, answer_bytes, is_prompt, now_s)
             if flow.busy:
                 took_s = now_s - flow.waits_since_s
                 self.answer_s.record(took_s)
@@ -230,14 +230,14 @@
             flow.waits_since_s = now_s
             flow.progress = packet.sequence
             if self.watch:
-                self.watch.ask(packet.key, flow.backend, now_s)
+                self.watch.on_request(packet.key, flow.backend, now_s)
         elif (packet.sequence - flow.progress) & _SEQUENCE_MASK >= _SEND_WINDOW_BYTES:
             # More than a send window: the start of it must have been acknowledged.
             flow.backend.answer(now_s)
             flow.waits_since_s = now_s
             flow.progress = packet.sequence
             if self.watch:
-                self.watch.ask(packet.key, flow.backend, now_s)
+                self.watch.on_request(packet.key, flow.backend, now_s)
 
     def waited_for(self) -> set[Backend]:
         """Return the runs that open flows wait for.
@@ -286,7 +286,7 @@
         flow.backend.flows -= 1
         del self._flows[key]
         if self.watch:
-            self.watch.forget(key)
+            self.watch.discard(key)
 
     def sweep(self, now_s: float) -> None:
         """Delete the records of idle flows and expire unanswered requests.
--- a/src/agatethread/datapath/_forwarder.py
+++ b/src/agatethread/datapath/_forwarder.py
@@ -12,7 +12,11 @@
 from agatethread.datapath._backends import BackendView
 from agatethread.datapath._cold import ColdLimits
 from agatethread.datapath._flows import Flow, FlowLoads
-from agatethread.datapath._openings import is_warm_soon, judge_earlier, log_placed
+from agatethread.datapath._openings import (
+    find_earlier_runs,
+    has_run_warm_soon,
+    log_placement,
+)
 from agatethread.datapath._packets import (
     Address,
     FlowKey,
@@ -150,7 +154,7 @@
 
         now_s = self._now_s()
         flow = self.loads.find(packet.key)
-        service, tried = judge_earlier(flow, packet, route, now_s)
+        service, tried = find_earlier_runs(flow, packet, route, now_s)
         service = service or choose_service(route.targets, random.random)
         if self.shared_placing and not tried:
             if self.shared_placing.relay(packet, service):
@@ -178,7 +182,7 @@
         if backend is None:
             self._reject_unplaced(packet, route, now_s)
             return
-        log_placed(packet, backend, tried, now_s, self.table.version)
+        log_placement(packet, backend, tried, now_s, self.table.version)
         backend.start_trial(now_s)
         self._cold.note(backend, now_s)
         self.loads.open(packet.key, backend, now_s)
@@ -223,7 +227,7 @@
             Time for which the caller has waited.
         """
         version = self.table.version
-        log_placed(packet, backend, tried, self._now_s(), version, waited_s)
+        log_placement(packet, backend, tried, self._now_s(), version, waited_s)
         self._forward(packet, backend)
 
     def refuse(self, packet: Packet, reason: str) -> None:
@@ -243,7 +247,7 @@
         if not self._is_view_complete():
             self._drop(packet, "no_backend_known")
             return
-        if is_warm_soon(route, self._view.of_service, self._cold, now_s):
+        if has_run_warm_soon(route, self._view.of_service, self._cold, now_s):
             # After a reset the caller would retry within milliseconds, too early.
             self._drop(packet, "backends_cold")
         else:
@@ -258,7 +262,7 @@
         )
         if outcome is OpenFlowOutcome.FORWARD:
             if self.shared_placing:
-                self.shared_placing.adopt(packet.key, backend, self.loads)
+                self.shared_placing.record_relayed_flow(packet.key, backend, self.loads)
             self.loads.note(packet, backend, self._now_s())
             if self.shared_placing:
                 self._report_relayed_packet(packet.key)
@@ -275,7 +279,7 @@
     def _report_relayed_packet(self, key: FlowKey) -> None:
         flow = self.loads.find(key)
         is_over = flow is None
-        self.shared_placing.note_packet(key, not is_over and flow.busy, is_over)
+        self.shared_placing.on_packet(key, not is_over and flow.busy, is_over)
 
     def _should_reset_request(self, packet: Packet, backend: Backend) -> bool:
         """Return whether a request should be retried on another flow.
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -6,11 +6,11 @@
 
 from mode import Service
 
+from agatethread.datapath._answer_reports import REPORT_INTERVAL_S, AnswerReporter
+from agatethread.datapath._assembly import make_shared_placing
 from agatethread.datapath._backends import BackendView
 from agatethread.datapath._cold import ColdLimits
 from agatethread.datapath._forwarder import LabelForwarder
-from agatethread.datapath._joining import make_shared_placing
-from agatethread.datapath._judging import REPORT_INTERVAL_S, AnswerReports
 from agatethread.datapath._leaving import Departure
 from agatethread.datapath._pacing import PacedSender
 from agatethread.datapath._packets import PacketCodec
@@ -205,8 +205,8 @@
         self._last_control_message_s = 0.0
         self.is_ready = False
 
-    def _make_answer_reports(self) -> AnswerReports:
-        return AnswerReports(
+    def _make_answer_reports(self) -> AnswerReporter:
+        return AnswerReporter(
             self.forwarder,
             self.view,
             self._settings.failure_domain,
@@ -295,7 +295,7 @@
             dispatchers = merge_dispatchers(
                 self.subscription.live(), self.timers.now_s()
             )
-            self.forwarder.shared_placing.take_dispatchers(dispatchers)
+            self.forwarder.shared_placing.set_dispatchers(dispatchers)
         if self._settings.policies.serves_evacuated_when_cut_off:
             self.view.exempt(
                 self._settings.failure_domain if self._is_cut_off() else ""
--- a/src/agatethread/datapath/_openings.py
+++ b/src/agatethread/datapath/_openings.py
@@ -17,7 +17,7 @@
 log = make_logger("forwarder")
 
 
-def judge_earlier(
+def find_earlier_runs(
     flow: Flow | None, packet: Packet, route: Route, now_s: float
 ) -> tuple[str, tuple[Backend, ...]]:
     """Return the service and the runs that received the opening before.
@@ -50,7 +50,7 @@
     return service, (*flow.tried, flow.backend)
 
 
-def is_warm_soon(
+def has_run_warm_soon(
     route: Route,
     runs_of: Callable[[str], Iterable[Backend]],
     cold: ColdLimits,
@@ -82,7 +82,7 @@
     )
 
 
-def log_placed(
+def log_placement(
     packet: Packet,
     backend: Backend,
     tried: Sequence[Backend],
--- a/src/agatethread/datapath/_shared_placing.py
+++ b/src/agatethread/datapath/_shared_placing.py
@@ -11,10 +11,10 @@
 from agatethread.datapath._dispatching import OpeningDispatcher
 from agatethread.datapath._flows import FlowLoads
 from agatethread.datapath._groups import ServerGroups
-from agatethread.datapath._handing_over import OtherDispatchers
+from agatethread.datapath._handover import OtherDispatchers
 from agatethread.datapath._packets import FlowKey, Packet, unpack_flow
+from agatethread.datapath._received_openings import OpeningActions
 from agatethread.datapath._relaying import OpeningRelay
-from agatethread.datapath._taken import OpeningActions
 from agatethread.exceptions import DatagramError
 from agatethread.observability import Counters, Histogram
 from agatethread.routing import Route, RouteTable
@@ -114,7 +114,7 @@
         else:
             self._send_remote(message, address)
 
-    def take_dispatchers(self, dispatchers: Mapping[str, Dispatchers]) -> None:
+    def set_dispatchers(self, dispatchers: Mapping[str, Dispatchers]) -> None:
         """Store the dispatchers of each failure domain.
 
         Parameters
@@ -144,7 +144,9 @@
             return False
         return self._relay.relay(packet, service, self._table().version)
 
-    def adopt(self, key: FlowKey, backend: Backend, loads: FlowLoads) -> None:
+    def record_relayed_flow(
+        self, key: FlowKey, backend: Backend, loads: FlowLoads
+    ) -> None:
         """Record a relayed flow like one that this instance placed.
 
         To be called before a packet of an open flow is recorded: the packet shows that
@@ -163,7 +165,7 @@
         if sent_s is not None and loads.find(key) is None:
             loads.open(key, backend, sent_s)
 
-    def note_packet(self, key: FlowKey, busy: bool, over: bool) -> None:
+    def on_packet(self, key: FlowKey, busy: bool, over: bool) -> None:
         """Update a relayed flow by a packet of its caller.
 
         Parameters
--- a/tests/datapath/crowds.py
+++ b/tests/datapath/pressure_simulation.py
@@ -6,8 +6,8 @@
 
 from agatethread.datapath import BackendView, LabelForwarder
 from agatethread.datapath._placing import accepts_new_flows
+from agatethread.datapath._received_openings import OpeningActions
 from agatethread.datapath._shared_placing import SharedPlacing
-from agatethread.datapath._taken import OpeningActions
 from agatethread.observability import Counters
 from agatethread.routing import Route, RouteTable, Target
 from agatethread.wire.registry_pb2 import Dispatchers, RegistryMessage
@@ -130,7 +130,7 @@
             )
         self.dispatchers = dispatchers
         for forwarder in self.entries.values():
-            forwarder.shared_placing.take_dispatchers(dispatchers)
+            forwarder.shared_placing.set_dispatchers(dispatchers)
 
     def send_message(self, source, message, target):
         if {source, target} & self.failed or self.rng.random() < self.message_loss:
--- a/tests/datapath/quality_world.py
+++ b/tests/datapath/quality_simulation.py
@@ -8,7 +8,7 @@
 
 from agatethread.balancing import Quality
 from agatethread.datapath import Backend, FlowKey, choose_backend
-from agatethread.datapath._answers import AnswerWatch
+from agatethread.datapath._answers import AnswerMonitor
 from agatethread.datapath._weights import RunWeightStore
 from agatethread.observability import Counters
 from agatethread.registry import QualityKeeper, decode_message, label_of
@@ -41,7 +41,7 @@
         self.failure_domain = DOMAINS[number % len(DOMAINS)]
         self.backends = [Backend(server.run_report) for server in simulation.servers]
         by_label = {backend.label: backend for backend in self.backends}
-        self.watch = AnswerWatch(lambda host, port: AIM_S, simulation.clock())
+        self.watch = AnswerMonitor(lambda host, port: AIM_S, simulation.clock())
         self.weights = RunWeightStore(by_label.get)
         #: Delay with which it reads packets.
         self.read_delay_s = 0.0
@@ -134,7 +134,7 @@
         self.assigned_counts[server] += 1
         self.schedule(
             entry.read_delay_s,
-            entry.watch.ask,
+            entry.watch.on_request,
             key,
             backend,
             now_s + entry.read_delay_s,
@@ -173,7 +173,7 @@
     def on_answer(self, request, size):
         key, entry, backend = request[:3]
         backend.in_flight -= 1
-        entry.watch.answer(key, size, True, self.clock())
+        entry.watch.on_answer(key, size, True, self.clock())
 
     def late_ratio(self, from_s, until_s):
         """Return the ratio of late or refused requests among those sent in a period."""
--- a/tests/datapath/test_judging.py
+++ b/tests/datapath/test_answer_reports.py
@@ -4,7 +4,7 @@
 
 from agatethread.control import RoutingControl, RoutingControlSettings
 from agatethread.datapath import LabelEntryInstance, LabelEntrySettings
-from agatethread.datapath._judging import AnswerReports
+from agatethread.datapath._answer_reports import AnswerReporter
 from agatethread.observability import Counters
 from agatethread.registry import HubLink, Report
 from agatethread.settings import Parts
@@ -24,7 +24,7 @@
             self.view.take(run(nth))
         self.sent_messages = []
         self.links = [HubLink(SECOND, "b"), HubLink(FIRST, "a")]
-        self.reports = AnswerReports(
+        self.reports = AnswerReporter(
             self.forwarder,
             self.view,
             "a",
--- a/tests/datapath/test_answers.py
+++ b/tests/datapath/test_answers.py
@@ -5,17 +5,17 @@
 from hypothesis import strategies as st
 
 from agatethread.datapath import Backend, FlowLoads
-from agatethread.datapath._answers import AnswerWatch, slow_threshold_s
+from agatethread.datapath._answers import AnswerMonitor, slow_threshold_s
 from tests.datapath.worlds import opening, packet, run
 
 
-class TestAnswerWatch(unittest.TestCase):
+class TestAnswerMonitor(unittest.TestCase):
     """Answers that are counted from the packets of flows."""
 
     def setUp(self):
         self.loads = FlowLoads(100)
         self.backend, self.other = Backend(run(1)), Backend(run(2))
-        self.watch = self.loads.watch = AnswerWatch(lambda *_: 0.4, 0.0)
+        self.watch = self.loads.watch = AnswerMonitor(lambda *_: 0.4, 0.0)
         self.now_s, self.port = 0.0, 0
         for _ in range(5):
             self.request(0.05)
@@ -60,7 +60,7 @@
 
     def test_counts_no_answer_before_baseline_is_known(self):
         """The first answers of a route only set its baseline."""
-        watch = AnswerWatch(lambda *_: inf, 0.0)
+        watch = AnswerMonitor(lambda *_: inf, 0.0)
         self.loads.watch = watch
         self.request(2.0)
         self.assertIsNone(watch.collect(0.2))
--- a/tests/datapath/test_dispatching.py
+++ b/tests/datapath/test_dispatching.py
@@ -3,11 +3,11 @@
 
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._dispatching import OpeningDispatcher
-from agatethread.datapath._handing_over import OtherDispatchers
-from agatethread.datapath._taken import OpeningActions
+from agatethread.datapath._handover import OtherDispatchers
+from agatethread.datapath._received_openings import OpeningActions
 from agatethread.observability import Counters
 from agatethread.wire.registry_pb2 import DispatcherLoad, Dispatchers, RelayedOpening
-from tests.datapath.crowds import route
+from tests.datapath.pressure_simulation import route
 from tests.datapath.worlds import opening, run
 from tests.fakes import Clock, address
 
--- a/tests/datapath/test_fair_placing.py
+++ b/tests/datapath/test_fair_placing.py
@@ -2,7 +2,7 @@
 from unittest import mock
 
 from agatethread.balancing import CallerShares
-from tests.datapath.crowds import OTHER, URGENT, PressureSimulation
+from tests.datapath.pressure_simulation import OTHER, URGENT, PressureSimulation
 
 GREEDY = 1_000
 
--- a/tests/datapath/test_handing_over.py
+++ b/tests/datapath/test_handover.py
@@ -1,6 +1,6 @@
 import unittest
 
-from agatethread.datapath._handing_over import OtherDispatchers
+from agatethread.datapath._handover import OtherDispatchers
 from agatethread.wire.registry_pb2 import DispatcherLoad, Dispatchers, RelayedOpening
 from tests.datapath.worlds import opening
 from tests.fakes import Clock, address
--- a/tests/datapath/test_quality_world.py
+++ b/tests/datapath/test_quality_simulation.py
@@ -1,7 +1,7 @@
 import unittest
 
 from agatethread.balancing import Quality
-from tests.datapath.quality_world import DOMAINS, QualitySimulation
+from tests.datapath.quality_simulation import DOMAINS, QualitySimulation
 
 AFFECTED = (Quality.DOUBTFUL, Quality.EJECTED)
 
--- a/tests/datapath/test_shared_placing.py
+++ b/tests/datapath/test_shared_placing.py
@@ -4,7 +4,13 @@
 
 from agatethread.datapath._placing import place_limit
 from agatethread.wire.registry_pb2 import RegistryMessage
-from tests.datapath.crowds import ARCHIVE, OTHER, URGENT, PressureSimulation, make_table
+from tests.datapath.pressure_simulation import (
+    ARCHIVE,
+    OTHER,
+    URGENT,
+    PressureSimulation,
+    make_table,
+)
 from tests.datapath.worlds import opening
 from tests.fakes import address
 
@@ -195,7 +201,7 @@
         self.assertGreater(former_dispatcher.waiting_count(), 0)
         del dispatchers.addresses[0]
         for forwarder in simulation.entries.values():
-            forwarder.shared_placing.take_dispatchers(simulation.dispatchers)
+            forwarder.shared_placing.set_dispatchers(simulation.dispatchers)
         simulation.run(0.1)
         self.assertEqual(former_dispatcher.waiting_count(), 0)
 
