--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -66,7 +66,7 @@
         place = self._sink.getsockname()
         view = BackendView(time.monotonic, Counters())
         for number in range(1, 8):
-            view.take(
+            view.update_run(
                 BackendRun(
                     id=f"i-{number}",
                     number=number,
--- a/benchmarks/request_path.py
+++ b/benchmarks/request_path.py
@@ -100,7 +100,7 @@
 def _entry_steps() -> list[Step]:
     view = BackendView(time.monotonic, Counters())
     for run in _runs():
-        view.take(run)
+        view.update_run(run)
     sender = PacedSender(
         lambda data, target: None, 1e12, time.monotonic, lambda *_: None, Counters()
     )
@@ -109,7 +109,7 @@
     )
     route = Route((Target("tab", 1),), frozenset({"tab"}), idempotent=True)
     table = RouteTable(1, {(_HOST, _TAB_PORT): route}, {"tab": 0.0})
-    forwarder.take_table(table)
+    forwarder.apply_table(table)
     ports = iter(range(1, 10**9))
     sequences = iter(range(1, 10**9))
     cold = ColdLimits()
@@ -128,8 +128,8 @@
         forwarder.on_datagram(packet, ("10.0.0.2", 1))
 
     def judge() -> None:
-        view.judge(lambda run_id, started_ms: True)
-        forwarder.end_flows_of_lost_runs()
+        view.update_reporting(lambda run_id, started_ms: True)
+        forwarder.reset_flows_of_lost_runs()
 
     openings = _SETTLE_PER_S + _UPLOAD_PER_S + _STREAM_OPENINGS * _STREAM_PER_S
     packets = _STREAM_PACKETS * _STREAM_PER_S + _SETTLE_PACKETS * _SETTLE_PER_S
--- a/src/agatethread/datapath/_answer_reports.py
+++ b/src/agatethread/datapath/_answer_reports.py
@@ -53,8 +53,10 @@
         self._send = send
         self._now_s = now_s
         self._counters = counters
-        self._monitor = forwarder.loads.watch = AnswerMonitor(self._aim_of, now_s())
-        self._weights = RunWeightStore(view.find)
+        self._monitor = forwarder.loads.answer_monitor = AnswerMonitor(
+            self._aim_of, now_s()
+        )
+        self._weights = RunWeightStore(view.get_by_label)
 
     def _aim_of(self, host: int, port: int) -> float:
         route = self._forwarder.table.routes.get((host, port))
--- a/src/agatethread/datapath/_assembly.py
+++ b/src/agatethread/datapath/_assembly.py
@@ -64,14 +64,14 @@
     return SharedPlacing(
         own_address,
         failure_domain,
-        view.of_service,
+        view.runs_of_service,
         lambda backend: (
-            accepts_new_flows(backend) and not cold.spares(backend, now_s())
+            accepts_new_flows(backend) and not cold.is_limited(backend, now_s())
         ),
         codec.decode,
         lambda: forwarder.table,
         actions,
-        forwarder.place_here,
+        forwarder.place_locally,
         forwarder.refuse,
         now_s,
         counters,
--- a/src/agatethread/datapath/_backend.py
+++ b/src/agatethread/datapath/_backend.py
@@ -37,7 +37,7 @@
 
     __slots__ = (
         "address",
-        "answered_s",
+        "last_answer_s",
         "draining",
         "earlier_labels",
         "ended",
@@ -56,17 +56,17 @@
         "sequence",
         "service",
         "shares_label",
-        "silent_since_s",
+        "reporting_changed_s",
         "slots",
         "started_ms",
-        "told_s",
-        "unanswered_s",
+        "updated_s",
+        "last_unanswered_s",
         "unreachable",
         "usual_answer_s",
         "waiting",
-        "waits_since_s",
+        "waiting_since_s",
         "warm_s",
-        "weighed_until_s",
+        "weight_valid_until_s",
         "weight",
     )
 
@@ -84,7 +84,7 @@
         self.slots = max(1, run.slots)
         self.sequence = 0
         #: Time of the last update from a control instance.
-        self.told_s = 0.0
+        self.updated_s = 0.0
         self.draining = False
         self.ended = False
         self.ended_s = 0.0
@@ -93,7 +93,7 @@
         #: Whether control instances receive its reports.
         self.reporting = True
         #: Time of the last change of `reporting`.
-        self.silent_since_s = 0.0
+        self.reporting_changed_s = 0.0
         #: Whether another run that is used instead has the same label.
         self.shares_label = False
         #: Time at which it is warmed up after its start.
@@ -101,12 +101,12 @@
         #: Share of its usual new work, 0 to 1, set by control instances, and the time
         #: at which it expires; see `usable_weight`.
         self.weight = 1.0
-        self.weighed_until_s = 0.0
+        self.weight_valid_until_s = 0.0
         #: Open flows and unanswered requests seen by this instance.
         self.flows = 0
         self.in_flight = 0
         #: Time of the last packet that showed an answer to a caller.
-        self.answered_s = 0.0
+        self.last_answer_s = 0.0
         #: Moving average of the answer time; 0 before the first answer.
         self.usual_answer_s = 0.0
         self.failures = 0
@@ -114,11 +114,11 @@
         #: Open flows that wait for an answer since the last answer to any caller, and
         #: the time from which the first of them waits.
         self.waiting: set[FlowKey] = set()
-        self.waits_since_s = 0.0
-        #: Whether it is considered unreachable, see `_silence`.
+        self.waiting_since_s = 0.0
+        #: Whether it is considered unreachable, see `_reachability`.
         self.unreachable = False
         #: Time of the last packet that showed a missing answer.
-        self.unanswered_s = 0.0
+        self.last_unanswered_s = 0.0
 
     def usable_weight(self, now_s: float) -> float:
         """Return the share of its usual new work that the run gets.
@@ -133,9 +133,9 @@
         float
             0 to 1; 1 if there is no current weight.
         """
-        return self.weight if now_s < self.weighed_until_s else 1.0
+        return self.weight if now_s < self.weight_valid_until_s else 1.0
 
-    def is_gone(self, now_s: float) -> bool:
+    def is_marked_unreachable(self, now_s: float) -> bool:
         """Return whether the run is unreachable by recent evidence.
 
         A run is reachable again after a network cut. An instance with few flows may
@@ -152,9 +152,11 @@
         bool
             Whether open flows of the run may be reset.
         """
-        return self.unreachable and now_s - self.unanswered_s < _UNREACHABLE_VALID_S
+        return (
+            self.unreachable and now_s - self.last_unanswered_s < _UNREACHABLE_VALID_S
+        )
 
-    def answer(self, now_s: float) -> None:
+    def record_answer(self, now_s: float) -> None:
         """Record that the run answered a caller.
 
         Parameters
@@ -162,7 +164,7 @@
         now_s : float
             Time of the answer.
         """
-        self.answered_s = now_s
+        self.last_answer_s = now_s
         self.failures = 0
         self.penalty_until_s = 0.0
         self.waiting.clear()
@@ -181,7 +183,7 @@
         previous_s = self.usual_answer_s or took_s
         self.usual_answer_s = previous_s + (took_s - previous_s) * _ANSWER_TIME_WEIGHT
 
-    def wait(self, key: FlowKey, since_s: float) -> None:
+    def add_waiting_flow(self, key: FlowKey, since_s: float) -> None:
         """Record that an open flow waits for an answer.
 
         Parameters
@@ -191,14 +193,14 @@
         since_s : float
             Time at which its packet was first forwarded.
         """
-        if self.answered_s >= since_s:
+        if self.last_answer_s >= since_s:
             return
         if not self.waiting:
-            self.waits_since_s = since_s
+            self.waiting_since_s = since_s
         if len(self.waiting) < _MAX_WAITING_FLOWS:
             self.waiting.add(key)
 
-    def fail(self, since_s: float, now_s: float) -> None:
+    def record_failure(self, since_s: float, now_s: float) -> None:
         """Record a missing answer and avoid the run after several of them.
 
         Parameters
@@ -208,10 +210,10 @@
         now_s : float
             Current time.
         """
-        if self.answered_s >= since_s:
+        if self.last_answer_s >= since_s:
             # The run answers other callers, so the packet was lost or its queue full.
             return
-        self.unanswered_s = now_s
+        self.last_unanswered_s = now_s
         self.failures += 1
         excess_count = self.failures - _FAILURES_BEFORE_PENALTY
         if excess_count < 0:
@@ -232,7 +234,7 @@
         return pause_s
 
     def _last_answer_ago_s(self, now_s: float) -> float | None:
-        return round(now_s - self.answered_s, 3) if self.answered_s else None
+        return round(now_s - self.last_answer_s, 3) if self.last_answer_s else None
 
     def mark_unreachable(self, now_s: float) -> None:
         """Mark the run as unreachable until it answers a caller.
@@ -245,7 +247,7 @@
             Current time.
         """
         self.unreachable = True
-        self.unanswered_s = now_s
+        self.last_unanswered_s = now_s
         # The waiting flows are reset now, or wait for a late answer.
         self.waiting.clear()
         self.failures = max(self.failures, _FAILURES_BEFORE_PENALTY)
--- a/src/agatethread/datapath/_backends.py
+++ b/src/agatethread/datapath/_backends.py
@@ -57,7 +57,7 @@
     def __len__(self) -> int:
         return len(self._by_id)
 
-    def find(self, label: int) -> Backend | None:
+    def get_by_label(self, label: int) -> Backend | None:
         """Return the run for a label.
 
         Parameters
@@ -72,7 +72,7 @@
         """
         return self._by_label.get(label)
 
-    def of_service(self, service: str) -> list[Backend]:
+    def runs_of_service(self, service: str) -> list[Backend]:
         """Return the runs of a service that have not ended.
 
         Parameters
@@ -87,7 +87,7 @@
         """
         return self._by_service.get(service, [])
 
-    def take(self, run: BackendRun) -> None:
+    def update_run(self, run: BackendRun) -> None:
         """Update a run from a message of a control instance.
 
         Older runs and states are ignored, so messages of several control instances may
@@ -115,7 +115,7 @@
             backend.slots = max(1, run.slots)
             backend.sequence = run.sequence
             backend.warm_s = self._now_s() + run.warm_up_ms / 1000
-        backend.told_s = self._now_s()
+        backend.updated_s = self._now_s()
         if run.draining and not backend.draining:
             backend.draining = True
             self._log_change(backend, Event.RUN_DRAINING)
@@ -142,7 +142,7 @@
             if backend.failure_domain in readmitted:
                 backend.warm_s = max(backend.warm_s, cold_until_s)
 
-    def exempt(self, failure_domain: str) -> None:
+    def set_exempt_domain(self, failure_domain: str) -> None:
         """Set the failure domain that gets new flows although it is evacuated.
 
         Parameters
@@ -176,7 +176,7 @@
             Whether a run of the other failure domains answered since then.
         """
         return any(
-            backend.answered_s > since_s
+            backend.last_answer_s > since_s
             for backend in self._by_id.values()
             if backend.failure_domain != failure_domain
         )
@@ -257,7 +257,7 @@
             sequence=backend.sequence,
         )
 
-    def judge(self, is_reporting: Callable[[str, int], bool]) -> None:
+    def update_reporting(self, is_reporting: Callable[[str, int], bool]) -> None:
         """Update which runs are reporting and delete expired ended runs.
 
         Parameters
@@ -274,7 +274,7 @@
             reporting = is_reporting(backend.id, backend.started_ms)
             if reporting != backend.reporting:
                 backend.reporting = reporting
-                backend.silent_since_s = self._now_s()
+                backend.reporting_changed_s = self._now_s()
                 event = Event.RUN_REPORTING if reporting else Event.RUN_SILENT
                 self._log_change(backend, event)
 
--- a/src/agatethread/datapath/_cold.py
+++ b/src/agatethread/datapath/_cold.py
@@ -67,7 +67,7 @@
         #: Rank of this instance among all, assigned by control instances.
         self.rank = NO_RANK
 
-    def spares(self, backend: Backend, now_s: float) -> bool:
+    def is_limited(self, backend: Backend, now_s: float) -> bool:
         """Return whether a server gets no new flow while a warm one can take it.
 
         Parameters
@@ -84,7 +84,7 @@
         """
         return now_s < backend.warm_s and backend.service in self.rates_per_s
 
-    def permits(self, backend: Backend, now_s: float) -> bool:
+    def allows_flow(self, backend: Backend, now_s: float) -> bool:
         """Return whether this instance may send a cold server a new flow.
 
         Parameters
@@ -99,7 +99,7 @@
         bool
             Whether the flow is within the share of this instance.
         """
-        if not self.spares(backend, now_s):
+        if not self.is_limited(backend, now_s):
             return False
         rate_per_s = self.rates_per_s[backend.service]
         limit_per_s = rate_per_s * self._overshoot + self._slack_per_s
@@ -108,7 +108,7 @@
         oldest_s = now_s - _WINDOW_S - _REORDERING_S
         return sum(1 for placed_s in placements_s if placed_s > oldest_s) < share
 
-    def note(self, backend: Backend, now_s: float) -> None:
+    def record_flow(self, backend: Backend, now_s: float) -> None:
         """Record a new flow of a server.
 
         Parameters
@@ -118,7 +118,7 @@
         now_s : float
             Current time.
         """
-        if not self.spares(backend, now_s):
+        if not self.is_limited(backend, now_s):
             return
         placements_s = self._placements_s.setdefault(backend, deque())
         placements_s.append(now_s)
@@ -134,7 +134,7 @@
             Current time.
         """
         for backend in list(self._placements_s):
-            if not self.spares(backend, now_s):
+            if not self.is_limited(backend, now_s):
                 del self._placements_s[backend]
 
 
--- a/src/agatethread/datapath/_leaving.py
+++ b/src/agatethread/datapath/_departure.py
@@ -45,14 +45,14 @@
     ):
         self._now_s = now_s
         #: Time of the stop request.
-        self.asked_s = now_s()
+        self.requested_s = now_s()
         #: Time for which it still forwards packets after leaving.
         self.notice_s = min(NOTICE_S, _MAX_NOTICE_RATIO * grace_s)
         self._max_wait_s = min(
             policies.turn_wait_s, grace_s - self.notice_s - _SHUTDOWN_MARGIN_S
         )
 
-    def may_go(self, domain: DomainView | None) -> bool:
+    def may_leave(self, domain: DomainView | None) -> bool:
         """Return whether the instance may leave now.
 
         Parameters
@@ -66,7 +66,7 @@
         bool
             Whether it may stop getting packets.
         """
-        waited_s = self._now_s() - self.asked_s
+        waited_s = self._now_s() - self.requested_s
         if waited_s >= self._max_wait_s:
             return True
         if domain is None:
--- a/src/agatethread/datapath/_dispatching.py
+++ b/src/agatethread/datapath/_dispatching.py
@@ -184,7 +184,7 @@
         if placement is None or not packet.copy:
             # A first opening belongs to another flow from the same port.
             return ()
-        placement.backend.fail(placement.since_s, now_s)
+        placement.backend.record_failure(placement.since_s, now_s)
         return (*placement.tried, placement.backend)
 
     def _rank(self, received: ReceivedOpening) -> ReceivedOpening:
@@ -318,9 +318,9 @@
         if placement is None:
             self._remove_waiting(key)
             return
-        if placement.since_s >= placement.backend.unanswered_s:
+        if placement.since_s >= placement.backend.last_unanswered_s:
             # The caller's packets, which show the answer, pass another instance.
-            placement.backend.answer(self._now_s())
+            placement.backend.record_answer(self._now_s())
         self._place_waiting(placement.service)
 
     def _remove_waiting(self, key: FlowKey) -> None:
@@ -343,7 +343,7 @@
         now_s = self._now_s()
         for placement in self._places.expire():
             self._counters["places_given_up"] += 1
-            placement.backend.fail(placement.since_s, now_s)
+            placement.backend.record_failure(placement.since_s, now_s)
         for service, queue in list(self._queues.items()):
             for received in queue.pop_expired(now_s):
                 self._refuse(received)
--- a/src/agatethread/datapath/_flows.py
+++ b/src/agatethread/datapath/_flows.py
@@ -35,11 +35,11 @@
         "backend",
         "busy",
         "opened",
-        "progress",
-        "seen_s",
-        "sent",
+        "window_start",
+        "last_packet_s",
+        "highest_sent",
         "tried",
-        "waits_since_s",
+        "waiting_since_s",
     )
 
     def __init__(self, backend: Backend, now_s: float):
@@ -49,13 +49,13 @@
         self.opened = False
         #: Whether a request is counted as in progress.
         self.busy = False
-        self.waits_since_s = now_s
-        self.seen_s = now_s
+        self.waiting_since_s = now_s
+        self.last_packet_s = now_s
         #: Highest sequence numbers sent and acknowledged by the caller.
-        self.sent: int | None = None
+        self.highest_sent: int | None = None
         self.acknowledged: int | None = None
         #: Sequence number at which the current send window starts.
-        self.progress = 0
+        self.window_start = 0
 
 
 class FlowLoads:
@@ -70,10 +70,10 @@
     def __init__(self, limit_count: int):
         self._limit_count = limit_count
         self._flows: dict[FlowKey, Flow] = {}
-        #: Runs that flows have waited for since the last call of `waited_for`.
+        #: Runs that flows have waited for, see `runs_with_waiting_flows`.
         self._waited_runs: set[Backend] = set()
         #: Set if the quality of answers is measured.
-        self.watch: AnswerMonitor | None = None
+        self.answer_monitor: AnswerMonitor | None = None
         #: Time from an opening and from a request to the answer.
         self.opening_s = Histogram()
         self.answer_s = Histogram()
@@ -81,7 +81,7 @@
     def __len__(self) -> int:
         return len(self._flows)
 
-    def find(self, key: FlowKey) -> Flow | None:
+    def get_flow(self, key: FlowKey) -> Flow | None:
         """Return the record of a flow.
 
         Parameters
@@ -96,7 +96,7 @@
         """
         return self._flows.get(key)
 
-    def open(self, key: FlowKey, backend: Backend, now_s: float) -> None:
+    def record_opening(self, key: FlowKey, backend: Backend, now_s: float) -> None:
         """Record that an opening is forwarded.
 
         Parameters
@@ -114,12 +114,12 @@
             if flow is None:
                 return
         elif flow.backend is not backend:
-            if self.watch and flow.busy and not flow.opened:
-                self.watch.on_unanswered_opening(flow.backend)
+            if self.answer_monitor and flow.busy and not flow.opened:
+                self.answer_monitor.on_unanswered_opening(flow.backend)
             flow.tried += (flow.backend,)
             self._move(flow, backend)
-        flow.waits_since_s = now_s
-        flow.seen_s = now_s
+        flow.waiting_since_s = now_s
+        flow.last_packet_s = now_s
         # A request follows the opening at once.
         self._set_busy(flow, True)
 
@@ -142,7 +142,7 @@
             flow.busy = busy
             flow.backend.in_flight += 1 if busy else -1
 
-    def note(self, packet: Packet, backend: Backend, now_s: float) -> None:
+    def record_packet(self, packet: Packet, backend: Backend, now_s: float) -> None:
         """Record a packet of an open flow.
 
         Parameters
@@ -159,10 +159,10 @@
             return
         if flow.backend is not backend:
             self._move(flow, backend)
-        flow.seen_s = now_s
+        flow.last_packet_s = now_s
         if packet.closes or packet.resets:
-            if self.watch:
-                self._record_close(self.watch, flow, packet, now_s)
+            if self.answer_monitor:
+                self._record_close(self.answer_monitor, flow, packet, now_s)
             self._remove(packet.key, flow)
             return
         self._record_answer(flow, packet, now_s)
@@ -171,14 +171,16 @@
 
     @staticmethod
     def _record_close(
-        watch: AnswerMonitor, flow: Flow, packet: Packet, now_s: float
+        answer_monitor: AnswerMonitor, flow: Flow, packet: Packet, now_s: float
     ) -> None:
         """Record the end of a flow and an answer that its last packet acknowledges."""
         previous = flow.acknowledged
         if previous is not None and _is_after(packet.acknowledged, previous):
             answer_bytes = (packet.acknowledged - previous) & _SEQUENCE_MASK
-            watch.on_answer(packet.key, answer_bytes, not packet.payload_bytes, now_s)
-        watch.on_flow_end(packet.key)
+            answer_monitor.on_answer(
+                packet.key, answer_bytes, not packet.payload_bytes, now_s
+            )
+        answer_monitor.on_flow_end(packet.key)
 
     def _record_answer(self, flow: Flow, packet: Packet, now_s: float) -> None:
         previous = flow.acknowledged
@@ -187,13 +189,15 @@
             return
         if _is_after(packet.acknowledged, previous):
             flow.acknowledged = packet.acknowledged
-            flow.backend.answer(now_s)
-            if self.watch:
+            flow.backend.record_answer(now_s)
+            if self.answer_monitor:
                 answer_bytes = (packet.acknowledged - previous) & _SEQUENCE_MASK
                 is_prompt = not packet.payload_bytes
-                self.watch.on_answer(packet.key, answer_bytes, is_prompt, now_s)
+                self.answer_monitor.on_answer(
+                    packet.key, answer_bytes, is_prompt, now_s
+                )
             if flow.busy:
-                took_s = now_s - flow.waits_since_s
+                took_s = now_s - flow.waiting_since_s
                 self.answer_s.record(took_s)
                 flow.backend.record_answer_time(took_s)
             self._set_busy(flow, False)
@@ -207,39 +211,43 @@
         """
         was_opened_here = flow.busy and not flow.opened
         if was_opened_here:
-            self.opening_s.record(now_s - flow.waits_since_s)
+            self.opening_s.record(now_s - flow.waiting_since_s)
         flow.opened = True
         flow.acknowledged = packet.acknowledged
-        flow.progress = packet.sequence
+        flow.window_start = packet.sequence
         if was_opened_here or not packet.payload_bytes:
-            flow.backend.answer(now_s)
+            flow.backend.record_answer(now_s)
 
     def _record_request(self, flow: Flow, packet: Packet, now_s: float) -> None:
-        if flow.sent is not None and not _is_after(packet.sequence, flow.sent):
+        if flow.highest_sent is not None and not _is_after(
+            packet.sequence, flow.highest_sent
+        ):
             # A retransmission; all copies of a window count as one missing answer.
-            if now_s - flow.waits_since_s >= _MIN_RETRANSMIT_S:
-                flow.backend.wait(packet.key, flow.waits_since_s)
+            if now_s - flow.waiting_since_s >= _MIN_RETRANSMIT_S:
+                flow.backend.add_waiting_flow(packet.key, flow.waiting_since_s)
                 self._waited_runs.add(flow.backend)
-                flow.backend.fail(flow.waits_since_s, now_s)
-                flow.waits_since_s = now_s
+                flow.backend.record_failure(flow.waiting_since_s, now_s)
+                flow.waiting_since_s = now_s
             return
-        is_first = flow.sent is None
-        flow.sent = packet.sequence
+        is_first = flow.highest_sent is None
+        flow.highest_sent = packet.sequence
         if is_first or not flow.busy:
             self._set_busy(flow, True)
-            flow.waits_since_s = now_s
-            flow.progress = packet.sequence
-            if self.watch:
-                self.watch.on_request(packet.key, flow.backend, now_s)
-        elif (packet.sequence - flow.progress) & _SEQUENCE_MASK >= _SEND_WINDOW_BYTES:
+            flow.waiting_since_s = now_s
+            flow.window_start = packet.sequence
+            if self.answer_monitor:
+                self.answer_monitor.on_request(packet.key, flow.backend, now_s)
+        elif (
+            packet.sequence - flow.window_start
+        ) & _SEQUENCE_MASK >= _SEND_WINDOW_BYTES:
             # More than a send window: the start of it must have been acknowledged.
-            flow.backend.answer(now_s)
-            flow.waits_since_s = now_s
-            flow.progress = packet.sequence
-            if self.watch:
-                self.watch.on_request(packet.key, flow.backend, now_s)
+            flow.backend.record_answer(now_s)
+            flow.waiting_since_s = now_s
+            flow.window_start = packet.sequence
+            if self.answer_monitor:
+                self.answer_monitor.on_request(packet.key, flow.backend, now_s)
 
-    def waited_for(self) -> set[Backend]:
+    def runs_with_waiting_flows(self) -> set[Backend]:
         """Return the runs that open flows wait for.
 
         Returns
@@ -269,7 +277,7 @@
             if flow.backend in runs and flow.opened
         ]
 
-    def forget(self, key: FlowKey) -> None:
+    def delete_flow(self, key: FlowKey) -> None:
         """Delete the record of a flow that was reset.
 
         Parameters
@@ -285,8 +293,8 @@
         self._set_busy(flow, False)
         flow.backend.flows -= 1
         del self._flows[key]
-        if self.watch:
-            self.watch.discard(key)
+        if self.answer_monitor:
+            self.answer_monitor.discard(key)
 
     def sweep(self, now_s: float) -> None:
         """Delete the records of idle flows and expire unanswered requests.
@@ -297,7 +305,7 @@
             Current time.
         """
         for key, flow in list(self._flows.items()):
-            if now_s - flow.seen_s > _IDLE_TIMEOUT_S:
+            if now_s - flow.last_packet_s > _IDLE_TIMEOUT_S:
                 self._remove(key, flow)
-            elif flow.busy and now_s - flow.seen_s > _REQUEST_TIMEOUT_S:
+            elif flow.busy and now_s - flow.last_packet_s > _REQUEST_TIMEOUT_S:
                 self._set_busy(flow, False)
--- a/src/agatethread/datapath/_forwarder.py
+++ b/src/agatethread/datapath/_forwarder.py
@@ -25,9 +25,9 @@
     make_caller_packet,
 )
 from agatethread.datapath._placing import choose_service, order_services, place_flow
+from agatethread.datapath._reachability import should_reset_flow
 from agatethread.datapath._shared_placing import SharedPlacing
 from agatethread.datapath._sightings import SightingExchange
-from agatethread.datapath._silence import should_reset_flow
 from agatethread.datapath._suspects import check_suspect, find_suspects
 from agatethread.observability import Counters, Event, make_logger
 from agatethread.routing import (
@@ -100,10 +100,10 @@
         #: Set if openings are placed together with other instances.
         self.shared_placing: SharedPlacing | None = None
         self.loads = FlowLoads(flow_limit_count)
-        self.shared = SightingExchange(now_s)
+        self.sighting_exchange = SightingExchange(now_s)
         self.table: RouteTable = NO_ROUTES
 
-    def take_table(self, table: RouteTable) -> None:
+    def apply_table(self, table: RouteTable) -> None:
         """Apply a routing table unless it is older than the current one.
 
         Parameters
@@ -153,7 +153,7 @@
             return
 
         now_s = self._now_s()
-        flow = self.loads.find(packet.key)
+        flow = self.loads.get_flow(packet.key)
         service, tried = find_earlier_runs(flow, packet, route, now_s)
         service = service or choose_service(route.targets, random.random)
         if self.shared_placing and not tried:
@@ -172,7 +172,7 @@
         """Place an opening by the counts of this instance."""
         backend = place_flow(
             order_services(route.targets, service),
-            self._view.of_service,
+            self._view.runs_of_service,
             self._failure_domain,
             now_s,
             tried,
@@ -184,14 +184,14 @@
             return
         log_placement(packet, backend, tried, now_s, self.table.version)
         backend.start_trial(now_s)
-        self._cold.note(backend, now_s)
-        self.loads.open(packet.key, backend, now_s)
+        self._cold.record_flow(backend, now_s)
+        self.loads.record_opening(packet.key, backend, now_s)
         self._forward(packet, backend)
         self._counters["flows_placed"] += 1
         if packet.copy:
             self._counters["openings_again"] += 1
 
-    def place_here(self, packet: Packet) -> None:
+    def place_locally(self, packet: Packet) -> None:
         """Place an opening by the counts of this instance, without other instances.
 
         Parameters
@@ -247,14 +247,14 @@
         if not self._is_view_complete():
             self._drop(packet, "no_backend_known")
             return
-        if has_run_warm_soon(route, self._view.of_service, self._cold, now_s):
+        if has_run_warm_soon(route, self._view.runs_of_service, self._cold, now_s):
             # After a reset the caller would retry within milliseconds, too early.
             self._drop(packet, "backends_cold")
         else:
             self._reset(packet, "no_backend")
 
     def _on_packet(self, packet: Packet) -> None:
-        backend = self._view.find(packet.label)
+        backend = self._view.get_by_label(packet.label)
         outcome = judge_open_flow(
             is_known=backend is not None,
             is_allowed=backend is not None and self._is_allowed(packet, backend),
@@ -263,11 +263,11 @@
         if outcome is OpenFlowOutcome.FORWARD:
             if self.shared_placing:
                 self.shared_placing.record_relayed_flow(packet.key, backend, self.loads)
-            self.loads.note(packet, backend, self._now_s())
+            self.loads.record_packet(packet, backend, self._now_s())
             if self.shared_placing:
                 self._report_relayed_packet(packet.key)
             if self._should_reset_request(packet, backend):
-                self.loads.forget(packet.key)
+                self.loads.delete_flow(packet.key)
                 self._reset(packet, "backend_unreachable")
                 return
             self._forward(packet, backend)
@@ -277,7 +277,7 @@
             self._drop(packet, outcome.value)
 
     def _report_relayed_packet(self, key: FlowKey) -> None:
-        flow = self.loads.find(key)
+        flow = self.loads.get_flow(key)
         is_over = flow is None
         self.shared_placing.on_packet(key, not is_over and flow.busy, is_over)
 
@@ -291,9 +291,9 @@
         route = self.table.routes[packet.key.host, packet.key.port]
         if not route.idempotent:
             return False
-        return backend.is_gone(self._now_s())
+        return backend.is_marked_unreachable(self._now_s())
 
-    def end_flows_of_lost_runs(self) -> None:
+    def reset_flows_of_lost_runs(self) -> None:
         """Reset the open flows of runs that have ended or are unreachable.
 
         Called several times a second, so that a flow is reset before its caller loses
@@ -302,10 +302,10 @@
         now_s = self._now_s()
         lost = self._view.pop_newly_ended()
         for backend in self._suspects():
-            if not backend.is_gone(now_s) and check_suspect(
+            if not backend.is_marked_unreachable(now_s) and check_suspect(
                 backend,
                 self._view,
-                self.shared,
+                self.sighting_exchange,
                 now_s,
                 self._running_since_s,
                 self._policies,
@@ -321,7 +321,7 @@
         is_idempotent = route is not None and route.idempotent
         has_ended = flow.backend.ended
         if should_reset_flow(flow.busy, is_idempotent, has_ended):
-            self.loads.forget(key)
+            self.loads.delete_flow(key)
             reason = "backend_ended" if has_ended else "backend_unreachable"
             packet = make_caller_packet(key, flow.backend.label, flow.acknowledged)
             self._reset(packet, reason)
@@ -334,10 +334,10 @@
         list of Sighting
             Usually empty.
         """
-        return self.shared.observe(self._suspects())
+        return self.sighting_exchange.make_sightings(self._suspects())
 
     def _suspects(self) -> set[Backend]:
-        return find_suspects(self.loads, self._view, self.shared)
+        return find_suspects(self.loads, self._view, self.sighting_exchange)
 
     def tick(self) -> None:
         """Detect a suspension of the process; called several times a second."""
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -10,8 +10,8 @@
 from agatethread.datapath._assembly import make_shared_placing
 from agatethread.datapath._backends import BackendView
 from agatethread.datapath._cold import ColdLimits
+from agatethread.datapath._departure import Departure
 from agatethread.datapath._forwarder import LabelForwarder
-from agatethread.datapath._leaving import Departure
 from agatethread.datapath._pacing import PacedSender
 from agatethread.datapath._packets import PacketCodec
 from agatethread.datapath._readiness import Readiness
@@ -61,8 +61,7 @@
 _READINESS_CHECK_INTERVAL_S = 0.1
 #: Longest delay until an opening that can't be served in time is refused.
 _OPENING_QUEUE_INTERVAL_S = 0.05
-#: Time without an answer from other failure domains, equal to the timeout of control
-#: instances.
+#: Time without answers from other failure domains; equals control instances' timeout.
 _CUT_OFF_TIMEOUT_S = 1.0
 #: Never delays a packet.
 _UNPACED_BITS_PER_S = 1e12
@@ -180,7 +179,7 @@
             pack_address(parse_address(settings.registry)),
             self._transport.send,
             now_s,
-            self.view.take,
+            self.view.update_run,
             self._on_routes,
             counters,
             KnownEvacuations(self.view.set_evacuations),
@@ -198,7 +197,7 @@
                 counters,
                 policies,
             )
-        self.answers = (
+        self.answer_reporter = (
             self._make_answer_reports() if settings.parts.judges_answers else None
         )
         self.subscription.presence = PRESENCE_AWAY
@@ -236,8 +235,8 @@
             self.timers.subscribe(
                 _OPENING_QUEUE_INTERVAL_S, self.forwarder.shared_placing.tick
             )
-        if self.answers:
-            self.timers.subscribe(REPORT_INTERVAL_S, self.answers.tick)
+        if self.answer_reporter:
+            self.timers.subscribe(REPORT_INTERVAL_S, self.answer_reporter.tick)
         self.subscription.poll()
         log.info(Event.ENTRY_STARTED, instance=self._settings.name)
 
@@ -261,10 +260,12 @@
     async def _wait_for_turn(self, departure: Departure) -> float:
         self.subscription.presence = PRESENCE_LEAVING
         self.subscription.poll()
-        while not departure.may_go(self.subscription.domain_view(departure.asked_s)):
+        while not departure.may_leave(
+            self.subscription.domain_view(departure.requested_s)
+        ):
             await asyncio.sleep(_TURN_POLL_INTERVAL_S)
             self.subscription.poll()
-        return self.timers.now_s() - departure.asked_s
+        return self.timers.now_s() - departure.requested_s
 
     def _on_message(self, message: RegistryMessage, source: bytes) -> None:
         body = message.WhichOneof("body")
@@ -276,18 +277,18 @@
         elif body == "evacuations":
             self.subscription.on_evacuations(message.evacuations, source)
         elif body == "sightings":
-            self.forwarder.shared.take(message.sightings)
-        elif body == "weights" and self.answers:
-            self.answers.on_weights(message.weights, source)
+            self.forwarder.sighting_exchange.receive(message.sightings)
+        elif body == "weights" and self.answer_reporter:
+            self.answer_reporter.on_weights(message.weights, source)
         elif self.forwarder.shared_placing:
             self.forwarder.shared_placing.on_message(message, source)
 
     def _on_routes(self, table: RoutingTable) -> None:
-        self.forwarder.take_table(decode_table(table))
+        self.forwarder.apply_table(decode_table(table))
 
     def _update_view(self) -> None:
         self.forwarder.tick()
-        self.view.judge(self.subscription.is_reporting)
+        self.view.update_reporting(self.subscription.is_reporting)
         self._cold.rank = widest_rank(
             self.subscription.live(), self._settings.failure_domain
         )
@@ -297,7 +298,7 @@
             )
             self.forwarder.shared_placing.set_dispatchers(dispatchers)
         if self._settings.policies.serves_evacuated_when_cut_off:
-            self.view.exempt(
+            self.view.set_exempt_domain(
                 self._settings.failure_domain if self._is_cut_off() else ""
             )
 
@@ -313,7 +314,7 @@
         return is_cut_off(links, self.subscription.live(), domain)
 
     def _check_suspects(self) -> None:
-        self.forwarder.end_flows_of_lost_runs()
+        self.forwarder.reset_flows_of_lost_runs()
         if not self._settings.policies.shares_sightings:
             return
         sightings = self.forwarder.sightings()
@@ -387,7 +388,7 @@
         dict
             JSON-serializable.
         """
-        return (self.answers.dump() if self.answers else {}) | {
+        return (self.answer_reporter.dump() if self.answer_reporter else {}) | {
             "instance": self._settings.name,
             "failure_domain": self._settings.failure_domain,
             "ready": self.is_ready,
--- a/src/agatethread/datapath/_openings.py
+++ b/src/agatethread/datapath/_openings.py
@@ -43,7 +43,7 @@
     """
     if flow is None or not packet.copy:
         return "", ()
-    flow.backend.fail(flow.waits_since_s, now_s)
+    flow.backend.record_failure(flow.waiting_since_s, now_s)
     service = flow.backend.service
     if all(target.service != service for target in route.targets):
         return "", ()
@@ -78,7 +78,7 @@
         backend.warm_s <= now_s + _MAX_WARMUP_WAIT_S
         for target in route.targets
         for backend in runs_of(target.service)
-        if accepts_new_flows(backend) and cold.spares(backend, now_s)
+        if accepts_new_flows(backend) and cold.is_limited(backend, now_s)
     )
 
 
@@ -117,7 +117,7 @@
         in_flight=backend.in_flight,
         flows=backend.flows,
         failures=backend.failures,
-        told_ago_s=round(now_s - backend.told_s, 3),
+        told_ago_s=round(now_s - backend.updated_s, 3),
         tried=[tried_backend.id for tried_backend in tried],
         table_version=table_version,
         waited_s=round(waited_s, 3),
--- a/src/agatethread/datapath/_placing.py
+++ b/src/agatethread/datapath/_placing.py
@@ -63,7 +63,7 @@
     """Return whether a run receives no new flow, even without an alternative.
 
     An evacuated failure domain receives none also when no other is reachable, but for
-    instances that are cut off with it, see `BackendView.exempt`.
+    instances that are cut off with it, see `BackendView.set_exempt_domain`.
     """
     if backend.draining or backend.evacuated:
         return True
@@ -94,7 +94,7 @@
     """
     if _refuses_new_flows(backend):
         return False
-    return now_s - backend.silent_since_s < policies.out_of_sight_s
+    return now_s - backend.reporting_changed_s < policies.out_of_sight_s
 
 
 def _cost(
@@ -296,14 +296,14 @@
         services = services[:1]
 
     def is_warm(backend: Backend) -> bool:
-        return accepts_new_flows(backend) and not cold.spares(backend, now_s)
+        return accepts_new_flows(backend) and not cold.is_limited(backend, now_s)
 
     def is_within_cold_limit(backend: Backend) -> bool:
-        return accepts_new_flows(backend) and cold.permits(backend, now_s)
+        return accepts_new_flows(backend) and cold.allows_flow(backend, now_s)
 
     def is_unreachable(backend: Backend) -> bool:
         is_alive = may_be_alive(backend, now_s, policies)
-        return is_alive and not cold.spares(backend, now_s)
+        return is_alive and not cold.is_limited(backend, now_s)
 
     for is_candidate in (is_warm, is_within_cold_limit, is_unreachable):
         for service in services:
--- a/src/agatethread/datapath/_silence.py
+++ b/src/agatethread/datapath/_reachability.py
@@ -115,7 +115,7 @@
     bool
         Whether the run is unreachable.
     """
-    if backend.waiting and backend.waits_since_s < running_since_s:
+    if backend.waiting and backend.waiting_since_s < running_since_s:
         # The delay was caused by the suspension of this process.
         backend.waiting.clear()
         return False
@@ -156,7 +156,7 @@
     backend: Backend, now_s: float, pooled: PooledSighting
 ) -> float:
     """Return the silence of a run, or 0 if there is too little evidence."""
-    own_s = now_s - backend.waits_since_s if backend.waiting else 0.0
+    own_s = now_s - backend.waiting_since_s if backend.waiting else 0.0
     if len(backend.waiting) >= _MIN_WAITING_FLOWS:
         return own_s
     if pooled.waiting < _MIN_WAITING_FLOWS or pooled.observers < _MIN_OBSERVERS:
@@ -165,14 +165,14 @@
         return 0.0
     silent_s = max(own_s, pooled.silent_s)
     # An answer seen here takes precedence over sightings of others.
-    return silent_s if now_s - backend.answered_s >= silent_s else 0.0
+    return silent_s if now_s - backend.last_answer_s >= silent_s else 0.0
 
 
 def _find_recently_answering(
     backend: Backend, runs: Iterable[Backend], now_s: float
 ) -> Backend | None:
-    oldest_s = max(now_s - _RECENT_ANSWER_S, backend.waits_since_s)
+    oldest_s = max(now_s - _RECENT_ANSWER_S, backend.waiting_since_s)
     for other in runs:
-        if other is not backend and other.answered_s > oldest_s:
+        if other is not backend and other.last_answer_s > oldest_s:
             return other
     return None
--- a/src/agatethread/datapath/_shared_placing.py
+++ b/src/agatethread/datapath/_shared_placing.py
@@ -162,8 +162,8 @@
             Stores the flows.
         """
         sent_s = self._relay.unplaced_sent_s(key)
-        if sent_s is not None and loads.find(key) is None:
-            loads.open(key, backend, sent_s)
+        if sent_s is not None and loads.get_flow(key) is None:
+            loads.record_opening(key, backend, sent_s)
 
     def on_packet(self, key: FlowKey, busy: bool, over: bool) -> None:
         """Update a relayed flow by a packet of its caller.
--- a/src/agatethread/datapath/_sightings.py
+++ b/src/agatethread/datapath/_sightings.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from agatethread.datapath._backend import Backend
-from agatethread.datapath._silence import NO_POOLED_SIGHTING, PooledSighting
+from agatethread.datapath._reachability import NO_POOLED_SIGHTING, PooledSighting
 from agatethread.wire.registry_pb2 import Sighting, Sightings
 
 #: Control instances repeat sightings every 0.1 s; some messages may be lost.
@@ -34,7 +34,7 @@
         #: Time at which this instance last reported waiting flows of a run.
         self._reported_s: dict[int, float] = {}
 
-    def take(self, sightings: Sightings) -> None:
+    def receive(self, sightings: Sightings) -> None:
         """Store the pooled sightings of a control instance.
 
         Parameters
@@ -52,7 +52,7 @@
             )
             self._received[sighting.label] = _ReceivedSighting(now_s, pooled)
 
-    def of(self, backend: Backend) -> PooledSighting:
+    def get_pooled(self, backend: Backend) -> PooledSighting:
         """Return the current pooled sighting of a run.
 
         Parameters
@@ -94,7 +94,7 @@
         }
         return [*self._received, *self._reported_s]
 
-    def observe(self, backends: Iterable[Backend]) -> list[Sighting]:
+    def make_sightings(self, backends: Iterable[Backend]) -> list[Sighting]:
         """Return the sightings to send to control instances.
 
         Parameters
@@ -113,12 +113,12 @@
         for backend in backends:
             if backend.waiting:
                 self._reported_s[backend.label] = now_s
-                silent_s = now_s - backend.waits_since_s
+                silent_s = now_s - backend.waiting_since_s
                 sightings.append(
                     _make_sighting(backend, len(backend.waiting), silent_s)
                 )
             elif self._contradicts_others(backend, now_s):
-                last_answer_ago_s = now_s - backend.answered_s
+                last_answer_ago_s = now_s - backend.last_answer_s
                 sightings.append(_make_sighting(backend, 0, last_answer_ago_s))
         return sightings
 
@@ -129,8 +129,8 @@
         if backend.label in self._reported_s:
             # Flows reported by this instance no longer wait.
             return True
-        pooled = self.of(backend)
-        return bool(pooled.waiting) and now_s - backend.answered_s < pooled.silent_s
+        pooled = self.get_pooled(backend)
+        return bool(pooled.waiting) and now_s - backend.last_answer_s < pooled.silent_s
 
 
 def _make_sighting(backend: Backend, waiting: int, silent_s: float) -> Sighting:
--- a/src/agatethread/datapath/_suspects.py
+++ b/src/agatethread/datapath/_suspects.py
@@ -3,8 +3,8 @@
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._backends import BackendView
 from agatethread.datapath._flows import FlowLoads
+from agatethread.datapath._reachability import is_unreachable
 from agatethread.datapath._sightings import SightingExchange
-from agatethread.datapath._silence import is_unreachable
 from agatethread.settings import Policies
 
 
@@ -27,8 +27,8 @@
     set of Backend
         Runs that have not ended.
     """
-    suspects = loads.waited_for()
-    pooled = (view.find(label) for label in shared.labels())
+    suspects = loads.runs_with_waiting_flows()
+    pooled = (view.get_by_label(label) for label in shared.labels())
     suspects.update(backend for backend in pooled if backend is not None)
     return {backend for backend in suspects if not backend.ended}
 
@@ -63,7 +63,7 @@
     bool
         Whether the run is unreachable by recent evidence.
     """
-    runs, pooled = view.of_service(backend.service), shared.of(backend)
+    runs, pooled = view.runs_of_service(backend.service), shared.get_pooled(backend)
     if is_unreachable(backend, runs, now_s, running_since_s, pooled, policies):
         backend.mark_unreachable(now_s)
-    return backend.is_gone(now_s)
+    return backend.is_marked_unreachable(now_s)
--- a/src/agatethread/datapath/_weights.py
+++ b/src/agatethread/datapath/_weights.py
@@ -62,7 +62,9 @@
         now_s : float
             Present time.
         """
-        for backend in [run for run in self._reduced if run.weighed_until_s <= now_s]:
+        for backend in [
+            run for run in self._reduced if run.weight_valid_until_s <= now_s
+        ]:
             _set_weight(backend, 100, now_s)
             self._reduced.discard(backend)
 
@@ -86,7 +88,7 @@
 def _set_weight(backend: Backend, percent: int, now_s: float) -> None:
     percent_before = round(100 * backend.weight)
     backend.weight = percent / 100
-    backend.weighed_until_s = now_s + WEIGHT_VALIDITY_S
+    backend.weight_valid_until_s = now_s + WEIGHT_VALIDITY_S
     if _stage(percent) != _stage(percent_before):
         log.info(
             Event.BACKEND_WEIGHED,
--- a/tests/control/test_policies.py
+++ b/tests/control/test_policies.py
@@ -8,7 +8,7 @@
 from agatethread.observability import Counters
 from agatethread.registry import KnownEntry, save_hints
 from agatethread.settings import DEFAULT_POLICIES, switch_off
-from tests.datapath.worlds import run
+from tests.datapath.fixtures import run
 from tests.fakes import address, free_port
 
 
--- a/tests/datapath/worlds.py
+++ b/tests/datapath/fixtures.py
@@ -79,7 +79,7 @@
         self.sent = []
         self.is_view_complete = True
         self.forwarder = self.make_forwarder()
-        self.forwarder.take_table(table())
+        self.forwarder.apply_table(table())
 
     def make_forwarder(self):
         return LabelForwarder(
--- a/tests/datapath/pressure_simulation.py
+++ b/tests/datapath/pressure_simulation.py
@@ -11,7 +11,7 @@
 from agatethread.observability import Counters
 from agatethread.routing import Route, RouteTable, Target
 from agatethread.wire.registry_pb2 import Dispatchers, RegistryMessage
-from tests.datapath.worlds import CODEC, HOST, opening, packet, run
+from tests.datapath.fixtures import CODEC, HOST, opening, packet, run
 from tests.fakes import Clock, address
 
 #: Ports of the urgent route, of the other one, and of the archive's route.
@@ -91,20 +91,20 @@
         forwarder.shared_placing = SharedPlacing(
             entry_address,
             domain,
-            view.of_service,
+            view.runs_of_service,
             accepts_new_flows,
             codec.decode,
             lambda: forwarder.table,
             actions,
-            forwarder.place_here,
+            forwarder.place_locally,
             forwarder.refuse,
             self.clock,
             counters,
         )
         for number, (server_domain, *_) in self.servers.items():
             service = "archive" if number in self.archives else "tab"
-            view.take(run(number, failure_domain=server_domain, service=service))
-        forwarder.take_table(make_table())
+            view.update_run(run(number, failure_domain=server_domain, service=service))
+        forwarder.apply_table(make_table())
         self.entries[entry_address], self.domain_of[entry_address] = forwarder, domain
 
     def update_dispatchers(self, dispatcher_count=8):
--- a/tests/datapath/quality_simulation.py
+++ b/tests/datapath/quality_simulation.py
@@ -13,7 +13,7 @@
 from agatethread.observability import Counters
 from agatethread.registry import QualityKeeper, decode_message, label_of
 from agatethread.wire.registry_pb2 import RegistryMessage
-from tests.datapath.worlds import HOST, run
+from tests.datapath.fixtures import HOST, run
 from tests.fakes import Clock, address
 
 DOMAINS = ("a", "b", "c")
--- a/tests/datapath/test_answer_reports.py
+++ b/tests/datapath/test_answer_reports.py
@@ -11,7 +11,7 @@
 from agatethread.wire import pack_address
 from agatethread.wire.control_pb2 import ControlMember
 from agatethread.wire.registry_pb2 import RegistryMessage, RunWeight, RunWeights
-from tests.datapath.worlds import CODEC, HOST, ForwarderCase, opening, packet, run
+from tests.datapath.fixtures import CODEC, HOST, ForwarderCase, opening, packet, run
 from tests.fakes import address, free_port, own_host
 
 FIRST, SECOND, UNKNOWN = address(1), address(2), address(9)
@@ -21,7 +21,7 @@
     def setUp(self):
         super().setUp()
         for nth in (1, 2):
-            self.view.take(run(nth))
+            self.view.update_run(run(nth))
         self.sent_messages = []
         self.links = [HubLink(SECOND, "b"), HubLink(FIRST, "a")]
         self.reports = AnswerReporter(
@@ -136,8 +136,8 @@
         entry, control = self.make_entry(5, port), self.make_control(port)
         for instance in (entry, control):
             self.addAsyncCleanup(instance.on_stop)
-        self.assertIsNone(entry.answers)
-        self.assertIsNone(entry.forwarder.loads.watch)
+        self.assertIsNone(entry.answer_reporter)
+        self.assertIsNone(entry.forwarder.loads.answer_monitor)
         self.assertIsNone(control.quality)
         for body in ("answers", "weights", "pooled"):
             message = RegistryMessage()
@@ -174,11 +174,11 @@
         for _ in range(100):
             await asyncio.sleep(0.05)
             for entry in entries:
-                runs = entry.view.of_service("tab")
+                runs = entry.view.runs_of_service("tab")
                 for backend in runs if len(runs) == 6 else ():
                     is_slow = backend.id == "i-3"
-                    entry.answers._monitor._count(backend, slow=is_slow)
-            if all(entry.answers.count_reduced_runs() for entry in entries):
+                    entry.answer_reporter._monitor._count(backend, slow=is_slow)
+            if all(entry.answer_reporter.count_reduced_runs() for entry in entries):
                 break
         for entry in entries:
             self.assertEqual([*entry.dump()["weights"]], ["i-3"])
--- a/tests/datapath/test_answers.py
+++ b/tests/datapath/test_answers.py
@@ -6,7 +6,7 @@
 
 from agatethread.datapath import Backend, FlowLoads
 from agatethread.datapath._answers import AnswerMonitor, slow_threshold_s
-from tests.datapath.worlds import opening, packet, run
+from tests.datapath.fixtures import opening, packet, run
 
 
 class TestAnswerMonitor(unittest.TestCase):
@@ -15,7 +15,7 @@
     def setUp(self):
         self.loads = FlowLoads(100)
         self.backend, self.other = Backend(run(1)), Backend(run(2))
-        self.watch = self.loads.watch = AnswerMonitor(lambda *_: 0.4, 0.0)
+        self.watch = self.loads.answer_monitor = AnswerMonitor(lambda *_: 0.4, 0.0)
         self.now_s, self.port = 0.0, 0
         for _ in range(5):
             self.request(0.05)
@@ -25,7 +25,7 @@
         """Send a request on a new flow, which ends as named."""
         backend = backend or self.backend
         self.port += 1
-        self.loads.open(opening(self.port).key, backend, self.now_s)
+        self.loads.record_opening(opening(self.port).key, backend, self.now_s)
         self.note(backend, payload_bytes=80)
         self.now_s += took_s
         if end == "answer":
@@ -39,7 +39,7 @@
             self.note(backend, closes=True)
 
     def note(self, backend, **fields):
-        self.loads.note(packet(self.port, **fields), backend, self.now_s)
+        self.loads.record_packet(packet(self.port, **fields), backend, self.now_s)
 
     def collect(self, step_s=0.2):
         """Return answers, slow and failed ones, of the first backend server."""
@@ -61,7 +61,7 @@
     def test_counts_no_answer_before_baseline_is_known(self):
         """The first answers of a route only set its baseline."""
         watch = AnswerMonitor(lambda *_: inf, 0.0)
-        self.loads.watch = watch
+        self.loads.answer_monitor = watch
         self.request(2.0)
         self.assertIsNone(watch.collect(0.2))
 
@@ -90,17 +90,17 @@
 
     def test_counts_opening_retried_elsewhere_as_failed(self):
         """A copy that goes to another run is a failure of the first one."""
-        self.loads.open(opening(99).key, self.backend, self.now_s)
-        self.loads.open(opening(99, copy=1).key, self.other, self.now_s)
+        self.loads.record_opening(opening(99).key, self.backend, self.now_s)
+        self.loads.record_opening(opening(99, copy=1).key, self.other, self.now_s)
         self.assertEqual(self.collect(), (1, 0, 1))
 
     def test_ignores_slow_acknowledgement_with_next_request(self):
         """It may have been delayed by the caller, so only a fast one counts."""
         self.request(0.15, end="next request")
-        self.loads.forget(packet(self.port).key)
+        self.loads.delete_flow(packet(self.port).key)
         self.assertIsNone(self.collect())
         self.request(0.05, end="next request")
-        self.loads.forget(packet(self.port).key)
+        self.loads.delete_flow(packet(self.port).key)
         self.assertEqual(self.collect(), (1, 0, 0))
 
     def test_discards_answers_after_own_delay(self):
@@ -137,6 +137,6 @@
 
     def test_counts_nothing_without_monitor(self):
         """Flows are recorded without an answer monitor too."""
-        self.loads.watch = None
+        self.loads.answer_monitor = None
         self.request(5.0, end="give up")
         self.assertIsNone(self.collect())
--- a/tests/datapath/test_cold.py
+++ b/tests/datapath/test_cold.py
@@ -9,7 +9,7 @@
 from agatethread.datapath._placing import place_flow
 from agatethread.registry import EntryRank
 from agatethread.routing import RouteTable
-from tests.datapath.worlds import ForwarderCase, opening, run, table
+from tests.datapath.fixtures import ForwarderCase, opening, run, table
 
 #: Allow 5 flows per second at a rate of 0.
 OVERSHOOT, SLACK_PER_S = 1.5, 5.0
@@ -68,7 +68,7 @@
             ["tab"], lambda _: self.backends, "a", now_s, cold=self.cold
         )
         if backend is not None:
-            self.cold.note(backend, now_s)
+            self.cold.record_flow(backend, now_s)
         return backend
 
 
@@ -129,8 +129,8 @@
     def setUp(self):
         super().setUp()
         limited = RouteTable(2, table().routes, {"tab": 0.0})
-        self.forwarder.take_table(limited)
-        self.view.take(run(1, warm_up_ms=2_000))
+        self.forwarder.apply_table(limited)
+        self.view.update_run(run(1, warm_up_ms=2_000))
 
     def test_drops_opening_if_server_is_warm_soon(self):
         """A reset would use up the caller's retries too early."""
@@ -140,14 +140,14 @@
 
     def test_resets_opening_if_server_stays_cold(self):
         """No copy of the opening would arrive after the warm-up."""
-        self.view.take(run(1, sequence=2, warm_up_ms=10_000))
+        self.view.update_run(run(1, sequence=2, warm_up_ms=10_000))
         self.assertEqual(self.handle(opening()), [("reset", 1)])
         self.clock.value_s += 8.0
         self.assertEqual(self.handle(opening()), [])
 
     def test_warm_server_gets_all_flows(self):
         """The cold server gets no flow beside a warm one."""
-        self.view.take(run(2))
+        self.view.update_run(run(2))
         for port in range(10, 30):
             self.assertEqual(self.handle(opening(port)), [("forward", 2)])
 
@@ -155,7 +155,7 @@
         """A later report may start another warm-up."""
         self.clock.value_s += 5.0
         self.assertEqual(self.handle(opening(5)), [("forward", 1)])
-        self.view.take(run(1, sequence=2, warm_up_ms=2_000))
+        self.view.update_run(run(1, sequence=2, warm_up_ms=2_000))
         self.assertEqual(self.handle(opening(6)), [])
 
 
@@ -163,9 +163,9 @@
     def test_readmitted_servers_are_cold_until_reports(self):
         """They get no flow until a report can have arrived."""
         self.view._readmitted_cold_s = 1.8
-        self.forwarder.take_table(RouteTable(2, table().routes, {"tab": 0.0}))
-        self.view.take(run(1))
-        self.view.take(run(2, failure_domain="b"))
+        self.forwarder.apply_table(RouteTable(2, table().routes, {"tab": 0.0}))
+        self.view.update_run(run(1))
+        self.view.update_run(run(2, failure_domain="b"))
         self.clock.value_s += 10.0
         self.view.set_evacuations(frozenset({"a"}))
         self.view.set_evacuations(frozenset())
--- a/tests/datapath/test_leaving.py
+++ b/tests/datapath/test_departure.py
@@ -23,36 +23,36 @@
 
     def test_leaves_at_once_if_others_serve(self):
         """There is no wait if no other instance is away."""
-        self.assertTrue(self.departure.may_go(DomainView(2, 0, 0)))
+        self.assertTrue(self.departure.may_leave(DomainView(2, 0, 0)))
 
     def test_waits_while_another_instance_is_away(self):
         """One of three instances may be away or ahead at a time."""
-        self.assertFalse(self.departure.may_go(DomainView(2, 1, 0)))
-        self.assertFalse(self.departure.may_go(DomainView(2, 0, 1)))
+        self.assertFalse(self.departure.may_leave(DomainView(2, 1, 0)))
+        self.assertFalse(self.departure.may_leave(DomainView(2, 0, 1)))
 
     def test_large_domain_allows_more_away(self):
         """A quarter of the instances may be away at a time."""
-        self.assertTrue(self.departure.may_go(DomainView(23, 5, 0)))
-        self.assertFalse(self.departure.may_go(DomainView(23, 6, 0)))
+        self.assertTrue(self.departure.may_leave(DomainView(23, 5, 0)))
+        self.assertFalse(self.departure.may_leave(DomainView(23, 6, 0)))
 
     def test_wait_is_limited_by_policy(self):
         """The instance leaves after two seconds in any case."""
         self.clock.value_s += 1.9
-        self.assertFalse(self.departure.may_go(DomainView(2, 2, 0)))
+        self.assertFalse(self.departure.may_leave(DomainView(2, 2, 0)))
         self.clock.value_s += 0.2
-        self.assertTrue(self.departure.may_go(DomainView(2, 2, 0)))
+        self.assertTrue(self.departure.may_leave(DomainView(2, 2, 0)))
 
     def test_wait_is_limited_by_grace_time(self):
         """The notice and the shutdown fit into the grace time."""
         departure = Departure(self.clock, 2.5)
         self.clock.value_s += 2.5 - 1.2 - 0.8
-        self.assertTrue(departure.may_go(DomainView(2, 2, 0)))
+        self.assertTrue(departure.may_leave(DomainView(2, 2, 0)))
 
     def test_leaves_without_control_instance(self):
         """The instance leaves after the timeout of control instances."""
-        self.assertFalse(self.departure.may_go(None))
+        self.assertFalse(self.departure.may_leave(None))
         self.clock.value_s += 0.35
-        self.assertTrue(self.departure.may_go(None))
+        self.assertTrue(self.departure.may_leave(None))
 
 
 class Entry:
@@ -101,8 +101,8 @@
         if self.departure is not None and now_s < self.leaves_s:
             self.subscription.presence = PRESENCE_LEAVING
             self.subscription.poll()
-            view = self.subscription.domain_view(self.departure.asked_s)
-            if self.departure.may_go(view):
+            view = self.subscription.domain_view(self.departure.requested_s)
+            if self.departure.may_leave(view):
                 self.leaves_s = now_s
                 self.ends_s = now_s + self.departure.notice_s
                 self.up_s = self.ends_s + DOWN_S
--- a/tests/datapath/test_dispatching.py
+++ b/tests/datapath/test_dispatching.py
@@ -7,8 +7,8 @@
 from agatethread.datapath._received_openings import OpeningActions
 from agatethread.observability import Counters
 from agatethread.wire.registry_pb2 import DispatcherLoad, Dispatchers, RelayedOpening
+from tests.datapath.fixtures import opening, run
 from tests.datapath.pressure_simulation import route
-from tests.datapath.worlds import opening, run
 from tests.fakes import Clock, address
 
 OWN, PEER, REMOTE = address(1), address(2), address(3)
--- a/tests/datapath/test_evacuations.py
+++ b/tests/datapath/test_evacuations.py
@@ -1,4 +1,4 @@
-from tests.datapath.worlds import ForwarderCase, opening, packet, run
+from tests.datapath.fixtures import ForwarderCase, opening, packet, run
 
 
 class TestEvacuations(ForwarderCase):
@@ -7,8 +7,8 @@
     def setUp(self):
         super().setUp()
         for number in (1, 2):
-            self.view.take(run(number, failure_domain="a"))
-        self.view.take(run(3, failure_domain="b"))
+            self.view.update_run(run(number, failure_domain="a"))
+        self.view.update_run(run(3, failure_domain="b"))
 
     def place(self, ports=range(10, 40), copy=0):
         """Return the runs that openings go to."""
@@ -34,13 +34,13 @@
     def test_new_run_in_evacuated_domain_gets_no_flow(self):
         """A run that is added after the evacuation is evacuated as well."""
         self.view.set_evacuations(frozenset({"a"}))
-        self.view.take(run(4, failure_domain="a"))
+        self.view.update_run(run(4, failure_domain="a"))
         self.assertEqual(self.place(), {3})
 
     def test_evacuated_domain_gets_no_flow_if_others_stop_reporting(self):
         """Openings are reset if the other failure domains have no usable run."""
         self.view.set_evacuations(frozenset({"a"}))
-        self.view.judge(lambda run_id, _: run_id != "i-3")
+        self.view.update_reporting(lambda run_id, _: run_id != "i-3")
         self.clock.value_s += 1.0
         self.assertEqual(self.place(), {3})
         self.clock.value_s += 60.0
@@ -54,10 +54,10 @@
     def test_exempt_domain_gets_flows(self):
         """An exempt failure domain gets flows until the exemption ends."""
         self.view.set_evacuations(frozenset({"a", "b"}))
-        self.view.exempt("a")
-        self.view.take(run(4, failure_domain="a"))
+        self.view.set_exempt_domain("a")
+        self.view.update_run(run(4, failure_domain="a"))
         self.assertEqual(self.place(), {1, 2, 4})
-        self.view.exempt("")
+        self.view.set_exempt_domain("")
         self.assertEqual(self.handle(opening(70)), [("reset", 70)])
 
     def test_detects_answers_from_other_domains(self):
--- a/tests/datapath/test_groups.py
+++ b/tests/datapath/test_groups.py
@@ -4,7 +4,7 @@
 from agatethread.datapath._groups import ServerGroups
 from agatethread.datapath._placing import accepts_new_flows
 from agatethread.wire.registry_pb2 import Dispatchers
-from tests.datapath.worlds import run
+from tests.datapath.fixtures import run
 from tests.fakes import Clock, address
 
 
--- a/tests/datapath/test_handover.py
+++ b/tests/datapath/test_handover.py
@@ -2,7 +2,7 @@
 
 from agatethread.datapath._handover import OtherDispatchers
 from agatethread.wire.registry_pb2 import DispatcherLoad, Dispatchers, RelayedOpening
-from tests.datapath.worlds import opening
+from tests.datapath.fixtures import opening
 from tests.fakes import Clock, address
 
 OWN, REMOTE, OTHER_REMOTE = address(9), address(1), address(2)
--- a/tests/datapath/test_pacing.py
+++ b/tests/datapath/test_pacing.py
@@ -6,7 +6,7 @@
 
 from agatethread.datapath._pacing import PacedSender
 from agatethread.observability import Counters
-from tests.datapath.worlds import packet
+from tests.datapath.fixtures import packet
 from tests.fakes import Clock
 
 LINK_BITS_PER_S = 2e6
--- a/tests/datapath/test_places.py
+++ b/tests/datapath/test_places.py
@@ -6,7 +6,7 @@
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._places import PlaceCounts
 from agatethread.datapath._placing import place_limit
-from tests.datapath.worlds import packet, run
+from tests.datapath.fixtures import packet, run
 from tests.fakes import Clock
 
 STEPS = st.lists(
--- a/tests/datapath/test_placing.py
+++ b/tests/datapath/test_placing.py
@@ -6,7 +6,7 @@
 from agatethread.datapath import Backend, choose_backend
 from agatethread.datapath._placing import choose_service, order_services, place_flow
 from agatethread.routing import Target
-from tests.datapath.worlds import run
+from tests.datapath.fixtures import run
 
 
 def simulate(choose, per_s=85.0, work_s=0.029, seconds=60.0, seed=1):
@@ -100,7 +100,7 @@
         return place_flow(services, lambda name: self.runs[name], "a", now_s)
 
     def stop_reports(self, backend, since_s=99.0):
-        backend.reporting, backend.silent_since_s = False, since_s
+        backend.reporting, backend.reporting_changed_s = False, since_s
 
     def test_uses_other_service_of_route(self):
         """Flows of a service without reachable run use another service."""
--- a/tests/datapath/test_policies.py
+++ b/tests/datapath/test_policies.py
@@ -12,11 +12,11 @@
     choose_backend,
 )
 from agatethread.datapath._placing import place_flow
-from agatethread.datapath._silence import PooledSighting, is_unreachable
+from agatethread.datapath._reachability import PooledSighting, is_unreachable
 from agatethread.observability import Counters
 from agatethread.registry import DomainView
 from agatethread.settings import DEFAULT_POLICIES, switch_off
-from tests.datapath.worlds import CODEC, ForwarderCase, opening, packet, run
+from tests.datapath.fixtures import CODEC, ForwarderCase, opening, packet, run
 from tests.fakes import Clock, free_port
 
 
@@ -63,20 +63,20 @@
 
     def test_out_of_sight(self):
         """A run that stops reporting gets no flow."""
-        self.other_domain.reporting, self.other_domain.silent_since_s = False, 99.0
+        self.other_domain.reporting, self.other_domain.reporting_changed_s = False, 99.0
         self.assertIsNone(self.place(("archive",), "out_of_sight_s"))
         self.assertIs(
             self.place(("archive",), "uses_other_services"), self.other_domain
         )
 
 
-class TestSilenceWithout(ForwarderCase):
+class TestReachabilityWithout(ForwarderCase):
     def disable(self, name):
         """Replace the forwarder by one with a policy off."""
         self.policies = without(name)
         self.view = BackendView(self.clock, self.counters, self.policies)
         self.forwarder = self.make_forwarder()
-        self.forwarder.take_table(self.table)
+        self.forwarder.apply_table(self.table)
 
     def setUp(self):
         super().setUp()
@@ -100,7 +100,7 @@
         self.disable("longest_avoidance_s")
         backend = Backend(run(1), self.policies)
         for _ in range(3):
-            backend.fail(1.0, 2.0)
+            backend.record_failure(1.0, 2.0)
             backend.start_trial(2.0)
         backend.mark_unreachable(2.0)
         self.assertLessEqual(backend.penalty_until_s, 2.0)
@@ -108,12 +108,12 @@
     def test_idle_resets(self):
         """A flow of an ended run is reset at its next packet."""
         self.disable("resets_idle_flows")
-        self.view.take(run(1))
+        self.view.update_run(run(1))
         self.handle(opening(1))
         self.handle(packet(1, 1))
-        self.view.take(run(1, ended=True))
+        self.view.update_run(run(1, ended=True))
         self.sent.clear()
-        self.forwarder.end_flows_of_lost_runs()
+        self.forwarder.reset_flows_of_lost_runs()
         self.assertEqual(self.sent, [])
         self.assertEqual(self.handle(packet(1, 1, payload_bytes=9)), [("reset", 1)])
 
@@ -121,9 +121,9 @@
         """A run that usually answers fast gets the longest silence."""
         silent, other = Backend(run(1)), Backend(run(2))
         silent.usual_answer_s = 0.02
-        other.answer(11.6)
+        other.record_answer(11.6)
         for number in range(3):
-            silent.wait(number, 11.0)
+            silent.add_waiting_flow(number, 11.0)
         pooled = PooledSighting(waiting=6, silent_s=0.7, observers=4, domains=2)
         arguments = (silent, [silent, other], 11.7, 0.0, pooled)
         self.assertTrue(is_unreachable(*arguments))
@@ -131,12 +131,12 @@
         self.assertFalse(is_unreachable(*arguments, policies=off))
 
 
-class TestLeavingWithout(unittest.TestCase):
+class TestDepartureWithout(unittest.TestCase):
     def test_turns(self):
         """An instance leaves at once while others are away."""
         departure = Departure(Clock(), 6.0, without("turn_wait_s"))
-        self.assertTrue(departure.may_go(DomainView(2, 2, 0)))
-        self.assertTrue(departure.may_go(None))
+        self.assertTrue(departure.may_leave(DomainView(2, 2, 0)))
+        self.assertTrue(departure.may_leave(None))
 
     def test_relearning(self):
         """A suspended instance continues with its old state."""
--- a/tests/datapath/test_silence.py
+++ b/tests/datapath/test_reachability.py
@@ -5,17 +5,17 @@
 from unittest import mock
 
 from agatethread.datapath import Backend, BackendView, LabelForwarder, label_of
-from agatethread.datapath._silence import is_unreachable
+from agatethread.datapath._reachability import is_unreachable
 from agatethread.observability import Counters
 from agatethread.routing import Route, RouteTable, Target
-from tests.datapath.worlds import CODEC, HOST, opening, packet, run
+from tests.datapath.fixtures import CODEC, HOST, opening, packet, run
 from tests.fakes import Clock
 
 
 class TestIsUnreachable(unittest.TestCase):
     def setUp(self):
         self.silent, self.other = Backend(run(1)), Backend(run(2))
-        self.silent.answer(10.0)
+        self.silent.record_answer(10.0)
 
     def judge(self, now_s, running_since_s=0.0):
         return is_unreachable(
@@ -24,37 +24,37 @@
 
     def wait(self, count=3, since_s=11.0):
         for number in range(count):
-            self.silent.wait(number, since_s)
+            self.silent.add_waiting_flow(number, since_s)
 
     def test_silent_run_is_unreachable_if_others_answer(self):
         """Three flows wait for a second, and another run has just answered."""
         self.wait()
-        self.other.answer(11.9)
+        self.other.record_answer(11.9)
         self.assertTrue(self.judge(12.0))
 
     def test_two_waiting_flows_are_not_enough(self):
         """Packets may be lost on the path of a single caller."""
         self.wait(count=2)
-        self.other.answer(11.9)
+        self.other.record_answer(11.9)
         self.assertFalse(self.judge(12.0))
 
     def test_short_silence_is_not_enough(self):
         """A run may take some hundred milliseconds to answer."""
         self.wait()
-        self.other.answer(11.4)
+        self.other.record_answer(11.4)
         self.assertFalse(self.judge(11.5))
 
     def test_reachable_if_no_run_answers(self):
         """The fault may be in this instance."""
         self.wait()
         self.assertFalse(self.judge(12.0))
-        self.other.answer(10.5)
+        self.other.record_answer(10.5)
         self.assertFalse(self.judge(12.0))
 
     def test_reachable_after_suspension(self):
         """Answers missed while the process was suspended are no evidence."""
         self.wait()
-        self.other.answer(11.9)
+        self.other.record_answer(11.9)
         self.assertFalse(self.judge(12.0, running_since_s=11.8))
         self.assertFalse(self.judge(12.0))
 
@@ -62,12 +62,12 @@
         """One answer clears the unreachable state and the waiting flows."""
         self.silent.unreachable = True
         self.wait()
-        self.silent.answer(12.0)
+        self.silent.record_answer(12.0)
         self.assertFalse(self.silent.unreachable)
         self.assertEqual(self.silent.waiting, set())
 
 
-class Play:
+class CallerSimulation:
     """Simulation of callers with long flows through a real forwarder.
 
     Answers bypass the forwarder, as on the platform. `delay_s` returns the answer time
@@ -90,7 +90,7 @@
         self.busy_resets = 0
         view = BackendView(self.clock, Counters())
         for number in range(1, 8):
-            view.take(run(number))
+            view.update_run(run(number))
         self.forwarder = LabelForwarder(
             CODEC,
             view,
@@ -114,7 +114,7 @@
         """Run the timer's calls of an entry instance."""
         self.current = None
         self.forwarder.tick()
-        self.forwarder.end_flows_of_lost_runs()
+        self.forwarder.reset_flows_of_lost_runs()
         self.at(self.clock() + 0.2, self.judge)
 
     def play(self, until_s):
@@ -226,28 +226,30 @@
 
 def count_failed_requests(seeds):
     """Return the failed requests to a crashed run without retries by callers."""
-    plays = [Play(crashes_at_10, idempotent=False, seed=seed) for seed in seeds]
+    plays = [
+        CallerSimulation(crashes_at_10, idempotent=False, seed=seed) for seed in seeds
+    ]
     return sum(play.play(20.0).failed for play in plays)
 
 
-class TestPlay(unittest.TestCase):
+class TestCallerSimulation(unittest.TestCase):
     def test_resets_reduce_failed_requests(self):
         """Most requests on flows of a crashed run are answered by other runs."""
-        with_resets = Play(crashes_at_10).play(20.0)
+        with_resets = CallerSimulation(crashes_at_10).play(20.0)
         with mock.patch("agatethread.datapath._suspects.is_unreachable") as judge:
             judge.return_value = False
-            baseline = Play(crashes_at_10).play(20.0)
+            baseline = CallerSimulation(crashes_at_10).play(20.0)
         self.assertGreater(baseline.failed, 12)
         self.assertLess(with_resets.failed, baseline.failed / 2)
         self.assertGreater(with_resets.in_time, baseline.in_time)
 
     def test_slow_run_keeps_its_flows(self):
         """A run that is slow but answers is reachable."""
-        self.assertEqual(Play(slow_from_10).play(20.0).resets, 0)
+        self.assertEqual(CallerSimulation(slow_from_10).play(20.0).resets, 0)
 
     def test_busy_flows_are_not_reset_if_not_idempotent(self):
         """Only idle flows are reset if requests can't be retried."""
-        play = Play(crashes_at_10, idempotent=False).play(20.0)
+        play = CallerSimulation(crashes_at_10, idempotent=False).play(20.0)
         self.assertEqual(play.busy_resets, 0)
         self.assertGreater(play.resets, 0)
 
@@ -262,7 +264,9 @@
 
     def test_no_reset_if_all_runs_are_silent(self):
         """The fault may be in this instance."""
-        play = Play(lambda number, now_s: None if now_s >= 10.0 else 0.03).play(20.0)
+        play = CallerSimulation(
+            lambda number, now_s: None if now_s >= 10.0 else 0.03
+        ).play(20.0)
         self.assertEqual(play.resets, 0)
 
     def test_labels_differ(self):
--- a/tests/datapath/test_relaying.py
+++ b/tests/datapath/test_relaying.py
@@ -3,7 +3,7 @@
 
 from agatethread.datapath._relaying import OpeningRelay
 from agatethread.observability import Counters
-from tests.datapath.worlds import opening
+from tests.datapath.fixtures import opening
 from tests.fakes import Clock, address
 
 FIRST, SECOND, OWN = address(1), address(2), address(7)
--- a/tests/datapath/test_restarts.py
+++ b/tests/datapath/test_restarts.py
@@ -1,5 +1,5 @@
 from agatethread.datapath import label_of
-from tests.datapath.worlds import ForwarderCase, opening, packet, run
+from tests.datapath.fixtures import ForwarderCase, opening, packet, run
 from tests.fakes import address
 
 
@@ -7,7 +7,7 @@
     """Flows of a backend server that restarts under the same id."""
 
     def start(self, started_ms, sequence=1, **fields):
-        self.view.take(run(1, started_ms=started_ms, sequence=sequence, **fields))
+        self.view.update_run(run(1, started_ms=started_ms, sequence=sequence, **fields))
 
     def label(self, started_ms):
         return label_of(1, started_ms)
@@ -35,10 +35,10 @@
             self.handle(opening(port))
             self.handle(opening(port, copy=1))
             self.handle(opening(port, copy=2))
-        (before,) = self.view.of_service("tab")
+        (before,) = self.view.runs_of_service("tab")
         self.assertGreater(before.failures + before.flows, 0)
         self.start(2_000)
-        (after,) = self.view.of_service("tab")
+        (after,) = self.view.runs_of_service("tab")
         state = (after.failures, after.flows, after.in_flight, len(after.waiting))
         self.assertEqual(state, (0, 0, 0, 0))
         self.assertEqual(after.penalty_until_s, 0.0)
@@ -63,16 +63,16 @@
     def test_end_of_unknown_later_run_ends_earlier_run(self):
         """The end of a later run implies the end of the earlier one."""
         self.start(1_000)
-        self.view.take(run(1, service="", started_ms=2_000, ended=True))
+        self.view.update_run(run(1, service="", started_ms=2_000, ended=True))
         self.assertEqual(self.handle(opening(1))[0][0], "reset")
 
     def test_reporting_state_belongs_to_one_run(self):
         """Reports of an earlier run do not count for the later one."""
         self.start(2_000)
-        (backend,) = self.view.of_service("tab")
-        self.view.judge(lambda run_id, started_ms: started_ms == 2_000)
+        (backend,) = self.view.runs_of_service("tab")
+        self.view.update_reporting(lambda run_id, started_ms: started_ms == 2_000)
         self.assertTrue(backend.reporting)
-        self.view.judge(lambda run_id, started_ms: started_ms == 1_000)
+        self.view.update_reporting(lambda run_id, started_ms: started_ms == 1_000)
         self.assertFalse(backend.reporting)
 
     def test_limits_number_of_earlier_labels(self):
@@ -80,11 +80,11 @@
         for started_ms in range(1_000, 1_100):
             self.start(started_ms)
         known_starts_ms = [
-            ms for ms in range(1_000, 1_100) if self.view.find(self.label(ms))
+            ms for ms in range(1_000, 1_100) if self.view.get_by_label(self.label(ms))
         ]
         self.assertEqual(known_starts_ms, list(range(1_091, 1_100)))
         self.start(1_099, sequence=2, ended=True)
         self.clock.value_s += 61.0
-        self.view.judge(lambda *_: True)
-        self.assertIsNone(self.view.find(self.label(1_098)))
+        self.view.update_reporting(lambda *_: True)
+        self.assertIsNone(self.view.get_by_label(self.label(1_098)))
         self.assertEqual(len(self.view), 0)
--- a/tests/datapath/test_shared_placing.py
+++ b/tests/datapath/test_shared_placing.py
@@ -4,6 +4,7 @@
 
 from agatethread.datapath._placing import place_limit
 from agatethread.wire.registry_pb2 import RegistryMessage
+from tests.datapath.fixtures import opening
 from tests.datapath.pressure_simulation import (
     ARCHIVE,
     OTHER,
@@ -11,7 +12,6 @@
     PressureSimulation,
     make_table,
 )
-from tests.datapath.worlds import opening
 from tests.fakes import address
 
 
@@ -113,14 +113,14 @@
         simulation.schedule_calls(800, 4.0)
         simulation.run(4.0)
         for forwarder in simulation.entries.values():
-            for backend in forwarder._view.of_service("tab"):
+            for backend in forwarder._view.runs_of_service("tab"):
                 self.assertLess(backend.penalty_until_s, simulation.clock())
 
     def test_dispatcher_with_other_table_returns_openings(self):
         """A dispatcher with another table returns openings at once."""
         simulation = self.start_under_load()
         for forwarder in list(simulation.entries.values())[:2]:
-            forwarder.take_table(make_table(2))
+            forwarder.apply_table(make_table(2))
         before = simulation.count("openings_dispatched_urgency_1")
         simulation.run(0.5)
         self.assertLess(simulation.count("openings_dispatched_urgency_1") - before, 150)
--- a/tests/datapath/test_sightings.py
+++ b/tests/datapath/test_sightings.py
@@ -1,12 +1,16 @@
 import unittest
 
 from agatethread.datapath import Backend, FlowLoads, label_of
+from agatethread.datapath._reachability import PooledSighting, is_unreachable
 from agatethread.datapath._sightings import SightingExchange
-from agatethread.datapath._silence import PooledSighting, is_unreachable
 from agatethread.registry import SightingPool
 from agatethread.wire.registry_pb2 import Sighting, Sightings
-from tests.datapath.test_silence import Play, crashes_at_10, slow_from_10
-from tests.datapath.worlds import run
+from tests.datapath.fixtures import run
+from tests.datapath.test_reachability import (
+    CallerSimulation,
+    crashes_at_10,
+    slow_from_10,
+)
 from tests.fakes import Clock
 
 SUFFICIENT_SIGHTING = PooledSighting(waiting=3, silent_s=0.9, observers=2, domains=2)
@@ -17,8 +21,8 @@
 
     def setUp(self):
         self.silent, self.other = Backend(run(1)), Backend(run(2))
-        self.silent.answer(10.0)
-        self.other.answer(11.9)
+        self.silent.record_answer(10.0)
+        self.other.record_answer(11.9)
 
     def judge(self, pooled, now_s=12.0, running_since_s=0.0):
         return is_unreachable(
@@ -38,12 +42,12 @@
         """A run cut off from one failure domain may be reachable from others."""
         pooled = PooledSighting(waiting=3, silent_s=0.9, observers=2, domains=1)
         self.assertFalse(self.judge(pooled))
-        self.silent.wait("flow", 11.5)
+        self.silent.add_waiting_flow("flow", 11.5)
         self.assertTrue(self.judge(pooled))
 
     def test_own_answer_overrides_sightings(self):
         """A run that recently answered here is reachable."""
-        self.silent.answer(11.5)
+        self.silent.record_answer(11.5)
         self.assertFalse(self.judge(SUFFICIENT_SIGHTING))
 
     def test_reachable_after_suspension(self):
@@ -79,56 +83,56 @@
 
     def receive(self, **fields):
         values = {"label": self.backend.label, "waiting": 3, "silent_ms": 900}
-        self.shared.take(Sightings(runs=[Sighting(**(values | fields))]))
+        self.shared.receive(Sightings(runs=[Sighting(**(values | fields))]))
 
     def test_reports_waiting_flows(self):
         """A sighting has the number of waiting flows and the silence."""
-        self.assertEqual(self.shared.observe([self.backend]), [])
-        self.backend.wait("flow", 11.5)
-        (sighting,) = self.shared.observe([self.backend])
+        self.assertEqual(self.shared.make_sightings([self.backend]), [])
+        self.backend.add_waiting_flow("flow", 11.5)
+        (sighting,) = self.shared.make_sightings([self.backend])
         self.assertEqual((sighting.waiting, sighting.silent_ms), (1, 500))
 
     def test_reports_end_of_wait(self):
         """Other instances stop counting flows that no longer wait here."""
-        self.backend.wait("flow", 11.5)
-        self.shared.observe([self.backend])
-        self.backend.answer(12.0)
+        self.backend.add_waiting_flow("flow", 11.5)
+        self.shared.make_sightings([self.backend])
+        self.backend.record_answer(12.0)
         self.clock.value_s += 0.1
         self.assertEqual(self.shared.labels(), [self.backend.label])
-        (sighting,) = self.shared.observe([self.backend])
+        (sighting,) = self.shared.make_sightings([self.backend])
         self.assertEqual((sighting.waiting, sighting.silent_ms), (0, 100))
 
     def test_silence_fits_message_field(self):
         """The monotonic clock may have any start."""
         self.clock.value_s = 1e9
-        self.backend.wait("flow", 1e9 - 1)
-        self.shared.observe([self.backend])
+        self.backend.add_waiting_flow("flow", 1e9 - 1)
+        self.shared.make_sightings([self.backend])
         self.backend.waiting.clear()
-        (sighting,) = self.shared.observe([self.backend])
+        (sighting,) = self.shared.make_sightings([self.backend])
         self.assertEqual((sighting.waiting, sighting.silent_ms), (0, 3_600_000))
 
     def test_does_not_withdraw_report_of_unreachable_run(self):
         """Other instances may still need the evidence."""
-        self.backend.wait("flow", 11.5)
-        self.shared.observe([self.backend])
+        self.backend.add_waiting_flow("flow", 11.5)
+        self.shared.make_sightings([self.backend])
         self.backend.mark_unreachable(12.0)
-        self.assertEqual(self.shared.observe([self.backend]), [])
+        self.assertEqual(self.shared.make_sightings([self.backend]), [])
 
     def test_reports_answer_while_others_wait(self):
         """A recent answer here contradicts the sightings of other instances."""
-        self.backend.answer(11.8)
-        self.assertEqual(self.shared.observe([self.backend]), [])
+        self.backend.record_answer(11.8)
+        self.assertEqual(self.shared.make_sightings([self.backend]), [])
         self.receive()
-        (sighting,) = self.shared.observe([self.backend])
+        (sighting,) = self.shared.make_sightings([self.backend])
         self.assertEqual((sighting.waiting, sighting.silent_ms), (0, 200))
 
     def test_received_sighting_expires(self):
         """Expired sightings are ignored and deleted."""
         self.receive()
-        self.assertEqual(self.shared.of(self.backend).waiting, 3)
+        self.assertEqual(self.shared.get_pooled(self.backend).waiting, 3)
         self.assertEqual(self.shared.labels(), [self.backend.label])
         self.clock.value_s += 0.7
-        self.assertEqual(self.shared.of(self.backend).waiting, 0)
+        self.assertEqual(self.shared.get_pooled(self.backend).waiting, 0)
         self.assertEqual(self.shared.labels(), [])
 
 
@@ -137,7 +141,7 @@
 
     def __init__(self, delay_s, is_shared, seed=1, idempotent=False):
         self.plays = [
-            Play(delay_s, idempotent, flows=18, seed=seed * 100 + number)
+            CallerSimulation(delay_s, idempotent, flows=18, seed=seed * 100 + number)
             for number in range(7)
         ]
         self.is_shared = is_shared
@@ -159,7 +163,7 @@
             forwarder = play.forwarder
             forwarder.loads = FlowLoads(10_000)
             for number in range(1, 8):
-                backend = forwarder._view.find(label_of(number))
+                backend = forwarder._view.get_by_label(label_of(number))
                 backend.flows = backend.in_flight = 0
                 backend.waiting.clear()
 
@@ -170,7 +174,7 @@
             self.pool.take(bytes([number]), "abc"[number % 3], sightings, now_s)
         digest = self.pool.digest(now_s)
         for play in self.plays:
-            play.forwarder.shared.take(digest)
+            play.forwarder.sighting_exchange.receive(digest)
 
     def sum(self, name):
         return sum(getattr(play, name) for play in self.plays)
--- a/tests/datapath/test_gone.py
+++ b/tests/datapath/test_unreachable.py
@@ -2,7 +2,7 @@
 
 from agatethread.datapath import label_of
 from agatethread.routing import RouteTable
-from tests.datapath.worlds import ForwarderCase, packet, run, table
+from tests.datapath.fixtures import ForwarderCase, packet, run, table
 
 
 class TestFlowsOfUnreachableRun(ForwarderCase):
@@ -14,9 +14,9 @@
             place: replace(route, idempotent=True)
             for place, route in table().routes.items()
         }
-        self.forwarder.take_table(RouteTable(2, routes))
-        self.view.take(run(1))
-        self.backend = self.view.find(label_of(1))
+        self.forwarder.apply_table(RouteTable(2, routes))
+        self.view.update_run(run(1))
+        self.backend = self.view.get_by_label(label_of(1))
         self.clock.value_s += 10.0
         self.backend.mark_unreachable(self.clock())
 
@@ -37,12 +37,12 @@
         """Flows are reset while callers keep waiting."""
         for _ in range(4):
             self.clock.value_s += 1.5
-            self.backend.fail(self.clock() - 0.2, self.clock())
+            self.backend.record_failure(self.clock() - 0.2, self.clock())
         self.assertEqual(self.ask(5), [("reset", 5)])
 
     def test_expired_unreachable_state_can_be_set_again(self):
         """A run that is still unreachable is marked again."""
         self.clock.value_s += 2.1
-        self.assertFalse(self.backend.is_gone(self.clock()))
+        self.assertFalse(self.backend.is_marked_unreachable(self.clock()))
         self.backend.mark_unreachable(self.clock())
-        self.assertTrue(self.backend.is_gone(self.clock()))
+        self.assertTrue(self.backend.is_marked_unreachable(self.clock()))
--- a/tests/datapath/test_weights.py
+++ b/tests/datapath/test_weights.py
@@ -5,7 +5,7 @@
 from agatethread.datapath._placing import choose_place
 from agatethread.datapath._weights import WEIGHT_VALIDITY_S, RunWeightStore
 from agatethread.wire.registry_pb2 import RunWeight, RunWeights
-from tests.datapath.worlds import run
+from tests.datapath.fixtures import run
 
 
 class TestRunWeightStore(unittest.TestCase):
--- a/tests/registry/test_quality.py
+++ b/tests/registry/test_quality.py
@@ -5,7 +5,7 @@
 from agatethread.observability import Counters
 from agatethread.registry import QualityKeeper, label_of
 from agatethread.wire.registry_pb2 import RegistryMessage
-from tests.datapath.worlds import run
+from tests.datapath.fixtures import run
 from tests.fakes import Clock, address
 from tests.registry.test_answers import sums
 
