--- a/src/agatethread/datapath/_joining.py
+++ b/src/agatethread/datapath/_assembly.py
@@ -7,8 +7,8 @@
 from agatethread.datapath._forwarder import LabelForwarder
 from agatethread.datapath._packets import PacketCodec
 from agatethread.datapath._placing import accepts_new_flows
+from agatethread.datapath._received_openings import OpeningActions
 from agatethread.datapath._shared_placing import SharedPlacing
-from agatethread.datapath._taken import OpeningActions
 from agatethread.observability import Counters
 from agatethread.settings import Policies
 from agatethread.wire.registry_pb2 import RegistryMessage
@@ -64,14 +64,14 @@
     return SharedPlacing(
         own_address,
         failure_domain,
-        view.of_service,
+        view.runs_of_service,
         lambda backend: (
-            accepts_new_flows(backend) and not cold.spares(backend, now_s())
+            accepts_new_flows(backend) and not cold.is_limited(backend, now_s())
         ),
         codec.decode,
         lambda: forwarder.table,
         actions,
-        forwarder.place_here,
+        forwarder.place_locally,
         forwarder.refuse,
         now_s,
         counters,
--- a/src/agatethread/datapath/_openings.py
+++ b/src/agatethread/datapath/_openings.py
@@ -17,7 +17,7 @@
 log = make_logger("forwarder")
 
 
-def judge_earlier(
+def find_earlier_runs(
     flow: Flow | None, packet: Packet, route: Route, now_s: float
 ) -> tuple[str, tuple[Backend, ...]]:
     """Return the service and the runs that received the opening before.
@@ -43,14 +43,14 @@
     """
     if flow is None or not packet.copy:
         return "", ()
-    flow.backend.fail(flow.waits_since_s, now_s)
+    flow.backend.record_failure(flow.waiting_since_s, now_s)
     service = flow.backend.service
     if all(target.service != service for target in route.targets):
         return "", ()
     return service, (*flow.tried, flow.backend)
 
 
-def is_warm_soon(
+def has_run_warm_soon(
     route: Route,
     runs_of: Callable[[str], Iterable[Backend]],
     cold: ColdLimits,
@@ -78,11 +78,11 @@
         backend.warm_s <= now_s + _MAX_WARMUP_WAIT_S
         for target in route.targets
         for backend in runs_of(target.service)
-        if accepts_new_flows(backend) and cold.spares(backend, now_s)
+        if accepts_new_flows(backend) and cold.is_limited(backend, now_s)
     )
 
 
-def log_placed(
+def log_placement(
     packet: Packet,
     backend: Backend,
     tried: Sequence[Backend],
@@ -117,7 +117,7 @@
         in_flight=backend.in_flight,
         flows=backend.flows,
         failures=backend.failures,
-        told_ago_s=round(now_s - backend.told_s, 3),
+        told_ago_s=round(now_s - backend.updated_s, 3),
         tried=[tried_backend.id for tried_backend in tried],
         table_version=table_version,
         waited_s=round(waited_s, 3),
--- a/src/agatethread/entry/_announcements.py
+++ b/src/agatethread/entry/_announcements.py
@@ -6,7 +6,7 @@
 from agatethread.exceptions import DatagramError, SealError
 from agatethread.membership import Member, MemberTable
 from agatethread.observability import Counters
-from agatethread.routing import Endpoint, EndpointTable, Heard
+from agatethread.routing import AnnouncementResult, Endpoint, EndpointTable
 from agatethread.settings import EntrySettings, format_address
 from agatethread.wire import (
     Announcement,
@@ -92,7 +92,7 @@
         now_s = self._now_s()
         for endpoint in self._endpoints.by_address.values():
             domain = endpoint.announcement.failure_domain
-            endpoint.out_of_sight = domain not in live_domains
+            endpoint.is_unreachable = domain not in live_domains
             is_new = endpoint.service in held_services - self._held_services
             if is_new or domain in live_domains - self._live_domains:
                 endpoint.extend_lease(now_s)
@@ -122,7 +122,7 @@
         announcement.address = source
 
         result = self._apply(announcement)
-        if result is not Heard.STALE:
+        if result is not AnnouncementResult.STALE:
             self._forward(announcement, result)
         self._acknowledge(announcement, source)
 
@@ -136,29 +136,31 @@
         """
         self._apply(announcement)
 
-    def _apply(self, announcement: Announcement) -> Heard:
+    def _apply(self, announcement: Announcement) -> AnnouncementResult:
         address = announcement.address
         previous = self._endpoints.by_address.get(address)
         was_gone = previous is not None and previous.gone
-        result, displaced = self._endpoints.hear(address, announcement, self._now_s())
+        result, displaced = self._endpoints.apply_announcement(
+            address, announcement, self._now_s()
+        )
         self._counters["announcement_" + result.name.lower()] += 1
         if displaced is not None:
             self._on_gone(displaced)
 
         endpoint = self._endpoints.by_address[address]
-        if result is not Heard.STALE:
+        if result is not AnnouncementResult.STALE:
             domain = endpoint.announcement.failure_domain
-            endpoint.out_of_sight = not self._members.sees_domain(domain)
-        if result is Heard.CHANGED:
+            endpoint.is_unreachable = not self._members.sees_domain(domain)
+        if result is AnnouncementResult.CHANGED:
             self._on_changed(endpoint)
             if endpoint.gone and not was_gone:
                 self._on_gone(endpoint)
         return result
 
-    def _forward(self, announcement: Announcement, result: Heard) -> None:
+    def _forward(self, announcement: Announcement, result: AnnouncementResult) -> None:
         targets = (
             self._members.live_peers()
-            if result is Heard.CHANGED
+            if result is AnnouncementResult.CHANGED
             else self._other_lease_holders(announcement.service)
         )
         for member in targets:
@@ -224,8 +226,8 @@
             ended.address = endpoint.address
             ended.leaving = True
             self._apply(ended)
-            self._forward(ended, Heard.CHANGED)
-        self._endpoints.forget_gone(now_s, _GONE_RETENTION_S)
+            self._forward(ended, AnnouncementResult.CHANGED)
+        self._endpoints.delete_gone(now_s, _GONE_RETENTION_S)
 
     def send_endpoints_to(self, member: Member) -> None:
         """Send a new instance the backend servers that this one dispatches for.
--- a/src/agatethread/entry/_documents.py
+++ b/src/agatethread/entry/_documents.py
@@ -15,7 +15,8 @@
 from agatethread.wire.control_pb2_grpc import ControlStub
 
 _RECONNECT_DELAY_S = 0.2
-#: Two control instances, so that one that hangs does not delay updates.
+#: Two control instances, so that one that hangs does not delay updates
+#: (several parents, as in FaReCast, Kim and others, Middleware 2010).
 _STREAM_COUNT = 2
 #: A control instance sends at least one update per second.
 _UPDATE_TIMEOUT_S = 3.0
--- a/src/agatethread/entry/_fragments.py
+++ b/src/agatethread/entry/_fragments.py
@@ -1,18 +1,18 @@
 """Request missing fragments from their senders."""
 
-from agatethread.operations import Ports
+from agatethread.operations import InstanceCallbacks
 from agatethread.transfer import Assembler
 from agatethread.wire import Envelope, Kind
 
 
-def request_missing_fragments(assembler: Assembler, ports: Ports) -> None:
+def request_missing_fragments(assembler: Assembler, ports: InstanceCallbacks) -> None:
     """Request missing fragments from callers and backend servers.
 
     Parameters
     ----------
     assembler : Assembler
         Holds the incomplete messages.
-    ports : Ports
+    ports : InstanceCallbacks
         Callbacks that send to callers and backend servers.
     """
     for partial, indices in assembler.take_quiet():
--- a/src/agatethread/entry/_placement.py
+++ b/src/agatethread/entry/_placement.py
@@ -95,7 +95,7 @@
             caller,
             self._now_s(),
         )
-        endpoint = self._flows.find(key)
+        endpoint = self._flows.get_endpoint(key)
         if endpoint is not None and not endpoint.gone:
             self._send_open(pending, endpoint)
             return
@@ -193,12 +193,12 @@
             Packed address of the backend server.
         """
         key = flow_key(service, flow_id)
-        endpoint = self._flows.find(key)
+        endpoint = self._flows.get_endpoint(key)
         pending = self._pending.get(key)
         if pending is None or endpoint is None or endpoint.address != address:
             return
 
-        endpoint.fail(self._now_s())
+        endpoint.record_failure(self._now_s())
         self._flows.remove(key, None)
         del self._pending[key]
         self._counters["flow_shed"] += 1
--- a/src/agatethread/entry/_requests.py
+++ b/src/agatethread/entry/_requests.py
@@ -8,10 +8,10 @@
 from agatethread.membership import MemberTable
 from agatethread.observability import Counters
 from agatethread.operations import (
-    ClaimKeeper,
+    InstanceCallbacks,
     OperationOwner,
-    Ports,
     ServiceQueue,
+    StandbyClaims,
 )
 from agatethread.routing import EndpointTable
 from agatethread.settings import EntrySettings
@@ -43,7 +43,7 @@
     ----------
     entry : EntrySettings
         Limits of the entry role.
-    ports : Ports
+    ports : InstanceCallbacks
         Callbacks of the instance.
     sealer : Sealer
         Decrypts tokens and labels.
@@ -62,7 +62,7 @@
     def __init__(
         self,
         entry: EntrySettings,
-        ports: Ports,
+        ports: InstanceCallbacks,
         sealer: Sealer,
         members: MemberTable,
         endpoints: EndpointTable,
@@ -77,7 +77,7 @@
         self._document_store = document_store
         self._counters = counters
         self._queues: dict[str, ServiceQueue] = {}
-        self.claims = ClaimKeeper(
+        self.claims = StandbyClaims(
             ports,
             sealer,
             endpoints,
@@ -205,7 +205,7 @@
 
     def _handle_as_owner(self, envelope: Envelope, token: Token, caller: bytes) -> None:
         timeout_s = self._get_timeout_s(envelope)
-        if self.owner.knows(envelope.operation_id):
+        if self.owner.has_operation(envelope.operation_id):
             self.owner.on_request(envelope, token, caller, timeout_s)
             return
         try:
@@ -382,7 +382,7 @@
         """
         queue = self._queues.get(service)
         if queue is not None:
-            queue.pump()
+            queue.grant_waiting()
 
     def refuse_queued(self) -> None:
         """Refuse the requests that wait for a slot, before leaving."""
@@ -392,7 +392,7 @@
     def sweep(self) -> None:
         """Run the periodic work of slots, missing fragments, claims and records."""
         for queue in self._queues.values():
-            queue.pump()
+            queue.grant_waiting()
         request_missing_fragments(self._assembler, self._ports)
         self.claims.sweep()
         self.owner.expire()
--- a/tests/datapath/test_shared_placing.py
+++ b/tests/datapath/test_shared_placing.py
@@ -4,8 +4,14 @@
 
 from agatethread.datapath._placing import place_limit
 from agatethread.wire.registry_pb2 import RegistryMessage
-from tests.datapath.crowds import ARCHIVE, OTHER, URGENT, PressureSimulation, make_table
-from tests.datapath.worlds import opening
+from tests.datapath.fixtures import opening
+from tests.datapath.pressure_simulation import (
+    ARCHIVE,
+    OTHER,
+    URGENT,
+    PressureSimulation,
+    make_table,
+)
 from tests.fakes import address
 
 
@@ -107,14 +113,14 @@
         simulation.schedule_calls(800, 4.0)
         simulation.run(4.0)
         for forwarder in simulation.entries.values():
-            for backend in forwarder._view.of_service("tab"):
+            for backend in forwarder._view.runs_of_service("tab"):
                 self.assertLess(backend.penalty_until_s, simulation.clock())
 
     def test_dispatcher_with_other_table_returns_openings(self):
         """A dispatcher with another table returns openings at once."""
         simulation = self.start_under_load()
         for forwarder in list(simulation.entries.values())[:2]:
-            forwarder.take_table(make_table(2))
+            forwarder.apply_table(make_table(2))
         before = simulation.count("openings_dispatched_urgency_1")
         simulation.run(0.5)
         self.assertLess(simulation.count("openings_dispatched_urgency_1") - before, 150)
@@ -195,7 +201,7 @@
         self.assertGreater(former_dispatcher.waiting_count(), 0)
         del dispatchers.addresses[0]
         for forwarder in simulation.entries.values():
-            forwarder.shared_placing.take_dispatchers(simulation.dispatchers)
+            forwarder.shared_placing.set_dispatchers(simulation.dispatchers)
         simulation.run(0.1)
         self.assertEqual(former_dispatcher.waiting_count(), 0)
 
--- a/tests/registry/test_answers.py
+++ b/tests/registry/test_answers.py
@@ -28,7 +28,7 @@
         self.add_report(b"3", (7, 4, 0, 0), domain="b")
         evidence = self.pool.collect_evidence(10.1)[7]
         self.assertEqual(
-            (evidence.whole.answers, evidence.whole.slow, evidence.whole.failed),
+            (evidence.window.answers, evidence.window.slow, evidence.window.failed),
             (9, 1, 1),
         )
         self.assertEqual(
@@ -42,7 +42,7 @@
             self.pool.collect_evidence(10.0 + RECENT_S)[7].recent.answers, 0
         )
         self.assertEqual(
-            self.pool.collect_evidence(10.0 + RECENT_S)[7].whole.answers, 3
+            self.pool.collect_evidence(10.0 + RECENT_S)[7].window.answers, 3
         )
         self.assertEqual(self.pool.collect_evidence(10.0 + WINDOW_S), {})
         self.assertEqual(self.pool._reports, {})
@@ -61,7 +61,7 @@
         self.add_report(b"slow", *[(label, 1, 1, 0) for label in range(1, 8)])
         self.add_report(b"2", *[(label, 2, 0, 0) for label in range(1, 8)])
         for evidence in self.pool.collect_evidence(10.1).values():
-            self.assertEqual((evidence.whole.answers, evidence.whole.bad), (2, 0))
+            self.assertEqual((evidence.window.answers, evidence.window.bad), (2, 0))
 
     def exchange(self, now_s):
         """Send the doubtful runs of both control instances to each other once."""
@@ -83,7 +83,7 @@
         self.assertEqual(self.exchange(10.3), [1, 1])
         for pool in (self.pool, self.other):
             evidence = pool.collect_evidence(10.4)[7]
-            self.assertEqual((evidence.whole.answers, evidence.whole.bad), (6, 3))
+            self.assertEqual((evidence.window.answers, evidence.window.bad), (6, 3))
             self.assertEqual((evidence.domains, evidence.bad_domains), (2, 1))
 
     def test_reply_to_a_doubt_raises_no_doubt(self):
