--- a/src/agatethread/datapath/_answer_reports.py
+++ b/src/agatethread/datapath/_answer_reports.py
@@ -11,8 +11,8 @@
 from agatethread.registry import HubLink, choose_followed
 from agatethread.wire.registry_pb2 import RegistryMessage, RunWeights
 
-#: Short against the time in which a slow server must be noticed, to leave time for
-#: control instances and for enough slow answers.
+#: Much shorter than the time in which a slow server must be detected, which also needs
+#: enough slow answers and a decision of control instances.
 REPORT_INTERVAL_S = 0.2
 
 
@@ -22,19 +22,19 @@
     Parameters
     ----------
     forwarder : LabelForwarder
-        Receives callers' packets; its answers are measured.
+        Receives callers' packets, from which answers are measured.
     view : BackendView
         Known runs.
     failure_domain : str
         Of this instance.
-    live : callable
+    reachable : callable
         Returns the reachable control instances.
     send : callable
         Sends a message to a packed address.
     now_s : callable
         Monotonic clock.
     counters : Counters
-        Counts reports.
+        Counts answers, and slow and failed ones.
     """
 
     def __init__(
@@ -63,7 +63,7 @@
         return route.aim_s if route else inf
 
     def tick(self) -> None:
-        """Send a report of answers; to be called every `REPORT_INTERVAL_S`."""
+        """Expire weights and report answers; to be called every `REPORT_INTERVAL_S`."""
         now_s = self._now_s()
         self._weights.sweep(now_s)
         sums = self._monitor.collect(now_s)
@@ -110,6 +110,6 @@
         """
         usual_s = {
             f"{host:08x}:{port}": round(seconds, 4)
-            for (host, port), seconds in self._monitor.usual_answer_s()
+            for (host, port), seconds in self._monitor.usual_times_by_route()
         }
         return {"usual_answer_s": usual_s, "weights": self._weights.dump()}
--- a/src/agatethread/datapath/_answers.py
+++ b/src/agatethread/datapath/_answers.py
@@ -20,22 +20,24 @@
 from agatethread.datapath._packets import FlowKey
 from agatethread.wire.registry_pb2 import AnswerSum, AnswerSums
 
-#: Multiple of the usual time; above the ordinary variation of work.
+#: Multiple of the usual time; above the usual variation of answer times.
 _SLOW_FACTOR = 3.0
 #: No answer is slow below this share of the aim.
 _MIN_SLOW_AIM_RATIO = 0.25
-#: Lower bound without an aim; allows for one retransmitted packet.
+#: No answer is slow below this time on a route without an aim.
 _MIN_SLOW_S = 0.1
 #: Below this share of the usual bytes, an answer is a refusal or incomplete.
 _SHORT_ANSWER_RATIO = 0.25
-#: Answers of a route that its baseline needs.
+#: Answers of a route after which its baseline is used.
 _MIN_ANSWERS = 5
 #: Largest change of a median's logarithm for one answer.
 _MEDIAN_STEP = 0.05
+#: The same for the first answers, divided by their number.
 _FIRST_MEDIAN_STEP = 0.5
-#: Routes with a baseline; more than the busy ones of a large table.
+#: Limit of baselines, all of which are deleted when it is reached; more than the busy
+#: routes of a large table.
 _MAX_ROUTES = 4_096
-#: Interval between collections that shows that this instance was delayed.
+#: Interval between collections after which the measurements are discarded.
 _DELAYED_COLLECTION_S = 0.5
 
 
@@ -64,15 +66,15 @@
 class _RouteBaseline:
     """The usual answer of a route."""
 
-    __slots__ = ("answer_bytes", "answer_s")
+    __slots__ = ("bytes_median", "time_median")
 
     def __init__(self) -> None:
-        self.answer_s = _RunningMedian()
-        self.answer_bytes = _RunningMedian()
+        self.time_median = _RunningMedian()
+        self.bytes_median = _RunningMedian()
 
     @property
-    def is_known(self) -> bool:
-        return self.answer_s.count >= _MIN_ANSWERS
+    def has_enough_answers(self) -> bool:
+        return self.time_median.count >= _MIN_ANSWERS
 
 
 class PendingRequest:
@@ -95,7 +97,7 @@
     usual_s : float
         Usual time on its route.
     aim_s : float
-        Time in which callers want it; infinite if unknown.
+        Time in which callers want the answer; infinite if unknown.
 
     Returns
     -------
@@ -150,7 +152,7 @@
         answer_bytes : int
             Newly acknowledged bytes.
         is_prompt : bool
-            Whether the acknowledgement is immediate: without another request.
+            Whether no new request, which may be late, carries the acknowledgement.
         now_s : float
             Present time.
         """
@@ -159,14 +161,15 @@
             return
         baseline = self._baseline_of(key)
         took_s = now_s - pending.requested_s
-        if not pending.is_counted and baseline.is_known:
+        if not pending.is_counted and baseline.has_enough_answers:
             is_slow = took_s >= self._slow_threshold_s(key, baseline)
-            is_short = answer_bytes < _SHORT_ANSWER_RATIO * baseline.answer_bytes.get()
+            is_short = answer_bytes < _SHORT_ANSWER_RATIO * baseline.bytes_median.get()
+            # A slow acknowledgement with the next request may be the caller's delay.
             if is_prompt or not is_slow:
                 self._count(pending.backend, slow=is_slow, failed=is_short)
         if is_prompt:
-            baseline.answer_s.add(took_s)
-            baseline.answer_bytes.add(answer_bytes)
+            baseline.time_median.add(took_s)
+            baseline.bytes_median.add(answer_bytes)
 
     def on_flow_end(self, key: FlowKey) -> None:
         """Record the end of a flow; a request without an answer has failed.
@@ -210,11 +213,12 @@
 
     def _slow_threshold_s(self, key: FlowKey, baseline: _RouteBaseline) -> float:
         aim_s = self._aim_of(key.host, key.port)
-        return slow_threshold_s(baseline.answer_s.get(), aim_s)
+        return slow_threshold_s(baseline.time_median.get(), aim_s)
 
     def _count(
         self, backend: Backend, slow: bool = False, failed: bool = False
     ) -> None:
+        """Count an answer; one that is slow and failed counts as slow only."""
         answer_sum = self._sums.get(backend)
         if answer_sum is None:
             answer_sum = self._sums[backend] = AnswerSum(label=backend.label)
@@ -227,7 +231,7 @@
     def collect(self, now_s: float) -> AnswerSums | None:
         """Return the sums since the last call, and reset them.
 
-        To be called every 0.2 s.
+        To be called every `REPORT_INTERVAL_S`.
 
         Parameters
         ----------
@@ -246,25 +250,26 @@
             self._sums.clear()
             self._pending.clear()
             return None
-        self._count_pending(now_s)
+        self._count_overdue(now_s)
         if not self._sums:
             return None
         sums = AnswerSums(runs=self._sums.values())
         self._sums.clear()
         return sums
 
-    def _count_pending(self, now_s: float) -> None:
+    def _count_overdue(self, now_s: float) -> None:
+        """Count requests as slow that have waited too long for their answer."""
         for key, pending in self._pending.items():
             if pending.is_counted:
                 continue
             baseline = self._baseline_of(key)
-            if not baseline.is_known:
+            if not baseline.has_enough_answers:
                 continue
             if now_s - pending.requested_s >= self._slow_threshold_s(key, baseline):
                 pending.is_counted = True
                 self._count(pending.backend, slow=True)
 
-    def usual_answer_s(self) -> Iterable[tuple[tuple[int, int], float]]:
+    def usual_times_by_route(self) -> Iterable[tuple[tuple[int, int], float]]:
         """Return the usual time of an answer on each route.
 
         Returns
@@ -273,6 +278,6 @@
             Host and port, and seconds.
         """
         return [
-            (route, baseline.answer_s.get())
+            (route, baseline.time_median.get())
             for route, baseline in self._baselines.items()
         ]
--- a/src/agatethread/datapath/_assembly.py
+++ b/src/agatethread/datapath/_assembly.py
@@ -26,7 +26,7 @@
     counters: Counters,
     policies: Policies,
 ) -> SharedPlacing:
-    """Return the shared placing of a forwarder, used under pressure.
+    """Return a SharedPlacing that is connected to a forwarder.
 
     Parameters
     ----------
@@ -41,7 +41,7 @@
     view : BackendView
         Known backend servers.
     cold : ColdLimits
-        Cold backend servers, which receive no shared openings.
+        Limits of cold backend servers; limited ones receive no relayed openings.
     send : callable
         Sends a registry message to a packed address.
     now_s : callable
--- a/src/agatethread/datapath/_dispatching.py
+++ b/src/agatethread/datapath/_dispatching.py
@@ -1,4 +1,4 @@
-"""Places openings on the backend servers of one dispatcher.
+"""Places the openings relayed to this instance on its backend servers.
 
 Handles pressure, when a backend server has a free slot for some milliseconds only: a
 single dispatcher places all flows of a server and counts its openings and their ends.
@@ -29,7 +29,7 @@
 )
 from agatethread.datapath._packets import FlowKey, Packet, pack_flow
 from agatethread.datapath._places import PlaceCounts
-from agatethread.datapath._placing import choose_place
+from agatethread.datapath._placing import choose_backend_with_place
 from agatethread.datapath._received_openings import (
     OpeningActions,
     ReceivedOpening,
@@ -45,16 +45,16 @@
     WorkEnded,
 )
 
-#: Multiple of the usual time that an answer needs at most, in general.
-_ANSWER_TIMES = 2.0
-#: Shorter than the time after which callers send copies or reuse ports.
+#: Multiple of the usual place time that is reserved for the answer.
+_ANSWER_RESERVE_FACTOR = 2.0
+#: Age up to which a repeated packet is a duplicate; callers reuse ports later.
 _DUPLICATE_WINDOW_S = 0.15
 
 log = make_logger("dispatcher")
 
 
 class OpeningDispatcher:
-    """Places, queues, hands over or refuses the openings of one dispatcher.
+    """Places, queues, hands over or refuses the openings relayed to this instance.
 
     Parameters
     ----------
@@ -99,8 +99,19 @@
         #: Time that callers of the placed openings had waited.
         self.waited_s = Histogram()
 
-    def serves(self, service: str) -> bool:
-        """Return whether a server of a service accepts new flows here."""
+    def has_server(self, service: str) -> bool:
+        """Return whether a server of this dispatcher accepts new flows.
+
+        Parameters
+        ----------
+        service : str
+            Service of the server.
+
+        Returns
+        -------
+        bool
+            Also True if all of them are avoided.
+        """
         return bool(self._servers_of(service))
 
     def waiting_count(self) -> int:
@@ -135,13 +146,11 @@
             self._reply(packet, relayed, sender)
 
     def _reply(self, packet: Packet, relayed: RelayedOpening, sender: bytes) -> None:
-        """Send this dispatcher's load to a sender that uses it.
-
-        Senders of the own failure domain assume room without a report.
-        """
+        """Report the load, unless the opening is placed and from the own domain."""
         is_placed = self._places.find(packet.key) is not None
-        has_just_crossed = relayed.crossed and not relayed.hops
-        if has_just_crossed or (relayed.origin and not is_placed):
+        # Hops are counted from 0 again in another failure domain.
+        is_from_other_domain = relayed.crossed and not relayed.hops
+        if is_from_other_domain or (relayed.origin and not is_placed):
             self._reporter.report(relayed.service, sender, LOAD_INTERVAL_S)
         elif not is_placed:
             self._reporter.report(relayed.service, sender, LIVENESS_INTERVAL_S)
@@ -163,16 +172,16 @@
         opening = Opening(
             urgency=route.urgency,
             requested_s=now_s - relayed.waited_ms / 1000,
-            # Leaves time for the answer after the opening is placed.
+            # The aim of the placement, which leaves time for the answer.
             aim_s=route.aim_s
-            - _ANSWER_TIMES * self._places.place_time_s(relayed.service),
+            - _ANSWER_RESERVE_FACTOR * self._places.place_time_s(relayed.service),
             timeout_s=route.timeout_s,
             caller=packet.key.caller,
         )
         received = ReceivedOpening(packet, relayed, sender, opening)
-        address = self._others.find_waiting_dispatcher(packet.key, relayed.service)
+        address = self._others.find_dispatcher_with_queue(packet.key, relayed.service)
         if packet.copy and address is not None:
-            # The opening waits at that dispatcher, so its copy follows.
+            # Sends the copy to the dispatcher where the opening is queued.
             self._hand_over(received, address)
             return
         self._others.pop_handover(packet.key)
@@ -182,13 +191,13 @@
         """Release the place of an opening whose copy arrived; return the tried runs."""
         placement = self._places.release(packet.key)
         if placement is None or not packet.copy:
-            # A first opening belongs to another flow from the same port.
+            # Not a copy, so the port is reused for another flow.
             return ()
         placement.backend.record_failure(placement.since_s, now_s)
         return (*placement.tried, placement.backend)
 
     def _rank(self, received: ReceivedOpening) -> ReceivedOpening:
-        """Rank an opening, behind all others while its caller exceeds its share."""
+        """Rank an opening; it is deferred if its caller exceeds its share."""
         shares, caller = self._shares[received.service], received.opening.caller
         exceeds_share = shares.exceeds_share(caller, self._now_s())
         waiting_count = len(self._queue_of(received.service))
@@ -205,24 +214,24 @@
         now_s = self._now_s()
         queue = self._queue_of(received.service)
         received = self._rank(received)
-        candidates = frozenset(self._groups.count_slots(received.service))
-        # Runs that did not answer the opening are left out.
+        candidate_dispatchers = frozenset(self._groups.count_slots(received.service))
+        # Excludes runs that did not answer the opening.
         load = self._load_of(received.service, received.tried)
         target = self._others.choose_target(
-            received.relayed, candidates, not load.place_count
+            received.relayed, candidate_dispatchers, not load.place_count
         )
         decision = decide_admission(
             received.opening,
             load,
             queue.count_ahead(received.opening.rank),
             now_s,
-            target.elsewhere if target else None,
+            target.alternative if target else None,
         )
         if decision is AdmissionDecision.PLACE and self._place(received):
             self._record_share(received)
             return
         if not load.place_count and target is None and self._place(received):
-            # No server is known to answer, so an unanswering one is tried.
+            # All servers are avoided and no other dispatcher is left: try one.
             return
         if decision is AdmissionDecision.HAND_OVER and target is not None:
             self._hand_over(received, target.address)
@@ -237,7 +246,7 @@
         ):
             return False
         if not received.opening.is_deferred:
-            # Counted on arrival, so that a burst does not precede later callers.
+            # Counted when queued, so that the rest of a burst is deferred.
             self._record_share(received)
             self._counters["openings_waiting"] += 1
             return True
@@ -248,7 +257,7 @@
 
     def _place(self, received: ReceivedOpening) -> bool:
         now_s = self._now_s()
-        backend = choose_place(
+        backend = choose_backend_with_place(
             self._servers_of(received.service),
             self._places.in_progress,
             now_s,
@@ -302,24 +311,24 @@
         self._actions.send(RegistryMessage(relayed=relayed), address)
 
     def on_end(self, key: FlowKey) -> None:
-        """Release the place of an opening whose request was answered or flow ended.
+        """Release the place of an answered request or ended flow, or forward the end.
 
         Parameters
         ----------
         key : FlowKey
-            Its flow; the end of a handed over opening is forwarded.
+            The flow.
         """
         address = self._others.pop_handover(key)
         if address is not None:
             ended = WorkEnded(flows=[pack_flow(key)])
             self._actions.send(RegistryMessage(ended=ended), address)
             return
-        placement = self._places.end(key)
+        placement = self._places.record_end(key)
         if placement is None:
             self._remove_waiting(key)
             return
         if placement.since_s >= placement.backend.last_unanswered_s:
-            # The caller's packets, which show the answer, pass another instance.
+            # The only evidence of an answer here; ignored if older than a failure.
             placement.backend.record_answer(self._now_s())
         self._place_waiting(placement.service)
 
@@ -339,7 +348,7 @@
                 self._record_share(received)
 
     def tick(self) -> None:
-        """Refuse or place waiting openings; to be called about 20 times a second."""
+        """Expire places, process queues and send reports, about 20 times a second."""
         now_s = self._now_s()
         for placement in self._places.expire():
             self._counters["places_given_up"] += 1
@@ -353,24 +362,21 @@
         for placement in self._places.list_in_age_range(
             LIVENESS_INTERVAL_S, 2 * LIVENESS_INTERVAL_S
         ):
-            # Shows that this instance is alive though the server does not answer.
+            # Shows senders that this instance is alive, though no answer came.
             self._reporter.report(
                 placement.service, placement.sender, LIVENESS_INTERVAL_S
             )
         self._reporter.tick()
 
     def _return_waiting(self, queue: "OpeningQueue[ReceivedOpening]") -> None:
-        """Return waiting openings to their senders when no server is reachable."""
+        """Return waiting openings to their senders if all servers are avoided."""
         while (received := queue.pop(self._now_s())) is not None:
             self._counters["openings_given_back"] += 1
             returned = ReturnedOpening(opening=received.relayed)
             self._actions.send(RegistryMessage(returned=returned), received.sender)
 
     def reset(self) -> None:
-        """Delete all openings after a pause of this instance.
-
-        Their ends may be lost, and their copies were placed elsewhere.
-        """
+        """Delete all openings after a pause, in which ends may have been lost."""
         self._queues.clear()
         self._places.clear()
 
@@ -381,13 +387,13 @@
         return queue
 
     def _servers_of(self, service: str) -> Sequence[Backend]:
-        return self._groups.usable(service, self._own_address)
+        return self._groups.usable_servers(service, self._own_address)
 
     def _load_of(self, service: str, tried: Sequence[Backend] = ()) -> GroupLoad:
         servers = [run for run in self._servers_of(service) if run not in tried]
         return self._places.measure_load(service, servers, len(self._queue_of(service)))
 
     def sweep(self) -> None:
-        """Delete outdated entries; to be called about once a second."""
+        """Delete outdated handovers and report times, about once a second."""
         self._others.sweep()
         self._reporter.sweep()
--- a/src/agatethread/datapath/_forwarder.py
+++ b/src/agatethread/datapath/_forwarder.py
@@ -13,9 +13,9 @@
 from agatethread.datapath._cold import ColdLimits
 from agatethread.datapath._flows import Flow, FlowLoads
 from agatethread.datapath._openings import (
-    find_earlier_runs,
     has_run_warm_soon,
     log_placement,
+    record_failed_tries,
 )
 from agatethread.datapath._packets import (
     Address,
@@ -154,7 +154,7 @@
 
         now_s = self._now_s()
         flow = self.loads.get_flow(packet.key)
-        service, tried = find_earlier_runs(flow, packet, route, now_s)
+        service, tried = record_failed_tries(flow, packet, route, now_s)
         service = service or choose_service(route.targets, random.random)
         if self.shared_placing and not tried:
             if self.shared_placing.relay(packet, service):
--- a/src/agatethread/datapath/_groups.py
+++ b/src/agatethread/datapath/_groups.py
@@ -1,4 +1,4 @@
-"""Which backend servers each dispatcher of the own failure domain places flows on."""
+"""Assigns the backend servers of a failure domain to its dispatchers."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
@@ -7,8 +7,8 @@
 from agatethread.datapath._backend import Backend
 from agatethread.wire.registry_pb2 import Dispatchers
 
-#: Maximum age of a service's groups; servers join less often, and whether one accepts
-#: flows is checked for each opening.
+#: Age at which a service's groups are assigned again, for servers that have joined;
+#: whether a server accepts flows is checked for each opening.
 _GROUPS_VALIDITY_S = 0.2
 
 
@@ -22,8 +22,8 @@
     """Assigns the backend servers of the own failure domain to its dispatchers.
 
     Instances that know the same servers and dispatchers assign them alike, without
-    messages. While two differ, two dispatchers may place on one server, each by its own
-    counts.
+    messages. While two instances know different ones, two dispatchers may place on one
+    server, each by its own counts.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
         self._now_s = now_s
         self._groups: dict[str, _ServiceGroups] = {}
         self.dispatchers: tuple[bytes, ...] = ()
-        #: Entry instances of the failure domain that serve.
+        #: Number of entry instances of the failure domain that are serving callers.
         self.entry_count = 0
 
     def set_dispatchers(self, dispatchers: Dispatchers | None) -> None:
@@ -99,7 +99,7 @@
         }
         return _ServiceGroups(now_s, by_dispatcher)
 
-    def usable(self, service: str, dispatcher: bytes) -> list[Backend]:
+    def usable_servers(self, service: str, dispatcher: bytes) -> list[Backend]:
         """Return the servers that a dispatcher may place flows on at present.
 
         Parameters
@@ -131,7 +131,9 @@
             By the dispatcher's packed address; dispatchers without slots are left out.
         """
         counts = {
-            dispatcher: sum(server.slots for server in self.usable(service, dispatcher))
+            dispatcher: sum(
+                server.slots for server in self.usable_servers(service, dispatcher)
+            )
             for dispatcher in self.servers_by_dispatcher(service)
         }
         return {dispatcher: count for dispatcher, count in counts.items() if count}
--- a/src/agatethread/datapath/_handover.py
+++ b/src/agatethread/datapath/_handover.py
@@ -1,8 +1,8 @@
 """Chooses other dispatchers for openings, and records openings handed over to them.
 
 Handles uneven load, when the backend servers of one dispatcher are full while others
-have room. Load changes within milliseconds, so handing over an opening also probes the
-other dispatcher, whose load report is valid for a short time.
+have room. The other dispatcher answers a handover with a load report, which is valid
+for a short time only, since load changes within milliseconds.
 """
 
 import random
@@ -14,22 +14,23 @@
 from agatethread.datapath._packets import FlowKey
 from agatethread.wire.registry_pb2 import DispatcherLoad, Dispatchers, RelayedOpening
 
-#: Validity of a load report; a few openings too many are queued at the target.
+#: Validity of a load report; short, since until it expires the dispatcher may be sent
+#: more openings than it has room for.
 _LOAD_VALIDITY_S = 0.1
-#: Validity of a report without reachable servers; as long as those are avoided.
-_UNREACHABLE_VALIDITY_S = 0.5
-#: Reported wait above which a dispatcher has no reachable server.
-_UNREACHABLE_WAIT_S = 60.0
+#: Validity of a report that all servers are avoided; equal to a server's first penalty.
+_ALL_AVOIDED_VALIDITY_S = 0.5
+#: Reported wait above which a dispatcher avoids all of its servers, or has none.
+_ALL_AVOIDED_WAIT_S = 60.0
 #: Minimum time between two openings that probe the load of other failure domains.
 _PROBE_INTERVAL_S = 0.02
-#: Retention of a handover, whose end is forwarded.
+#: Time after a handover in which the end of the opening is forwarded.
 _HANDOVER_RETENTION_S = 3.0
-#: Maximum hops within a failure domain, and the number of busy dispatchers from which
-#: all of the own failure domain counts as busy.
+#: Maximum hops within a failure domain.
 _MAX_HOPS = 2
+#: Number of busy dispatchers from which the own failure domain counts as busy.
 _MIN_BUSY_COUNT = 2
-#: Maximum hops when none of the own servers is reachable.
-_MAX_HOPS_FROM_UNREACHABLE = 5
+#: Maximum hops if the own servers are all avoided, or there are none.
+_MAX_HOPS_IF_ALL_AVOIDED = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,14 +42,14 @@
     waiting_count: int
 
     @property
-    def is_unreachable(self) -> bool:
-        """Whether none of its servers is reachable."""
-        return self.wait_s > _UNREACHABLE_WAIT_S
+    def avoids_all_servers(self) -> bool:
+        """Whether the dispatcher avoids all of its servers, or has none."""
+        return self.wait_s > _ALL_AVOIDED_WAIT_S
 
     @property
     def valid_until_s(self) -> float:
         return self.received_s + (
-            _UNREACHABLE_VALIDITY_S if self.is_unreachable else _LOAD_VALIDITY_S
+            _ALL_AVOIDED_VALIDITY_S if self.avoids_all_servers else _LOAD_VALIDITY_S
         )
 
 
@@ -60,12 +61,12 @@
     ----------
     address : bytes
         Its packed address.
-    elsewhere : PlacementAlternative
+    alternative : PlacementAlternative
         Expected wait of an opening.
     """
 
     address: bytes
-    elsewhere: PlacementAlternative
+    alternative: PlacementAlternative
 
 
 class OtherDispatchers:
@@ -90,7 +91,8 @@
         self._own_domain: frozenset[bytes] = frozenset()
         self._other_domains: frozenset[bytes] = frozenset()
         self._loads: dict[tuple[str, bytes], _Load] = {}
-        self._probed_s: dict[str, float] = {}
+        #: Time of the latest handover to another failure domain, by service.
+        self._crossed_s: dict[str, float] = {}
         self._handovers: dict[FlowKey, tuple[bytes, float]] = {}
 
     def set_dispatchers(self, dispatchers: Mapping[str, Dispatchers]) -> None:
@@ -121,7 +123,7 @@
         load : DispatcherLoad
             The report.
         source : bytes
-            Its packed address.
+            Packed address of the dispatcher.
         """
         if source in self._own_domain or source in self._other_domains:
             self._loads[load.service, source] = _Load(
@@ -132,9 +134,13 @@
         self,
         relayed: RelayedOpening,
         candidates: frozenset[bytes],
-        is_unreachable: bool = False,
+        avoids_all_servers: bool = False,
     ) -> HandoverTarget | None:
-        """Return the dispatcher that can place an opening soonest.
+        """Return a dispatcher that may have a place for an opening.
+
+        In this order: one of the own failure domain with room, or with unknown load;
+        one of another failure domain, if the opening has not crossed yet; the least
+        busy one of the own failure domain.
 
         Parameters
         ----------
@@ -142,18 +148,17 @@
             The message that carried the opening.
         candidates : frozenset of bytes
             Dispatchers of the own failure domain that have servers of its service.
-        is_unreachable : bool, optional
-            Whether none of the own servers is reachable.
+        avoids_all_servers : bool, optional
+            Whether this instance avoids all of its servers, or has none.
 
         Returns
         -------
         HandoverTarget or None
-            At times one with unknown load, to probe it; None at the limit of hops, or
-            if none is known to be less busy.
+            None at the limit of hops, or without a valid report or one to probe.
         """
         loads = self._valid_loads(relayed.service)
         own_candidates = self._own_domain & candidates
-        max_hops = _MAX_HOPS_FROM_UNREACHABLE if is_unreachable else _MAX_HOPS
+        max_hops = _MAX_HOPS_IF_ALL_AVOIDED if avoids_all_servers else _MAX_HOPS
         if relayed.hops < max_hops:
             target = self._choose_in_own_domain(own_candidates, loads)
             if target is not None:
@@ -185,22 +190,24 @@
         free = [address for address in reported if loads[address].is_free]
         if free:
             return HandoverTarget(random.choice(free), PlacementAlternative(0.0))
-        unknown = sorted(own_candidates.difference(reported))
-        busy = [address for address in reported if not loads[address].is_unreachable]
-        if unknown and len(busy) < _MIN_BUSY_COUNT:
-            return HandoverTarget(random.choice(unknown), PlacementAlternative(None))
+        unreported = sorted(own_candidates.difference(reported))
+        busy = [
+            address for address in reported if not loads[address].avoids_all_servers
+        ]
+        if unreported and len(busy) < _MIN_BUSY_COUNT:
+            return HandoverTarget(random.choice(unreported), PlacementAlternative(None))
         return None
 
     def _choose_in_other_domain(
         self, service: str, loads: Mapping[bytes, _Load]
     ) -> HandoverTarget | None:
-        unknown = sorted(self._other_domains - loads.keys())
+        unreported = sorted(self._other_domains - loads.keys())
         may_probe = (
-            self._now_s() - self._probed_s.get(service, -inf) >= _PROBE_INTERVAL_S
+            self._now_s() - self._crossed_s.get(service, -inf) >= _PROBE_INTERVAL_S
         )
-        if unknown and may_probe:
+        if unreported and may_probe:
             return HandoverTarget(
-                random.choice(unknown), PlacementAlternative(None, crosses=True)
+                random.choice(unreported), PlacementAlternative(None, crosses=True)
             )
         return _choose_least_busy(self._other_domains, loads, True)
 
@@ -218,7 +225,7 @@
         """
         now_s = self._now_s()
         if address in self._other_domains:
-            self._probed_s[service] = now_s
+            self._crossed_s[service] = now_s
         self._handovers[key] = (address, now_s)
 
     def is_in_other_domain(self, address: bytes) -> bool:
@@ -236,10 +243,11 @@
         """
         return address in self._other_domains
 
-    def find_waiting_dispatcher(self, key: FlowKey, service: str) -> bytes | None:
-        """Return the dispatcher that an opening was handed over to, if it waits there.
+    def find_dispatcher_with_queue(self, key: FlowKey, service: str) -> bytes | None:
+        """Return the dispatcher of a handed over opening, if it may be queued there.
 
-        A copy of an opening that was placed or lost is placed anew.
+        It may if a later load report shows queued openings of the service. Otherwise
+        it was placed or lost, and its copy is placed anew.
 
         Parameters
         ----------
@@ -251,7 +259,7 @@
         Returns
         -------
         bytes or None
-            The packed address; None without a later report of waiting openings.
+            The packed address; None without such a report.
         """
         if key not in self._handovers:
             return None
--- a/src/agatethread/datapath/_load_reports.py
+++ b/src/agatethread/datapath/_load_reports.py
@@ -9,14 +9,14 @@
 #: Minimum time between two reports to an instance that relays openings; less than a
 #: caller waits before it sends a copy.
 LIVENESS_INTERVAL_S = 0.1
-#: Minimum time between two reports to a dispatcher of another failure domain.
+#: Minimum time between two reports to a dispatcher that hands openings over.
 LOAD_INTERVAL_S = 0.02
-#: Upper bound of a reported wait; longer than any caller's timeout.
+#: Upper bound of a reported wait, which is infinite if all servers are avoided.
 _MAX_REPORTED_WAIT_S = 3_600.0
 
 
 class LoadReporter:
-    """Limits the rate of load reports to each instance.
+    """Sends load reports, at a limited rate for each service and instance.
 
     Parameters
     ----------
@@ -38,7 +38,7 @@
         self._send = send
         self._now_s = now_s
         self._sent_s: dict[tuple[str, bytes], float] = {}
-        #: Targets whose openings arrived since their last report.
+        #: Services and targets whose report is deferred.
         self._due: set[tuple[str, bytes]] = set()
 
     def report(self, service: str, target: bytes, min_interval_s: float) -> None:
--- a/src/agatethread/datapath/_openings.py
+++ b/src/agatethread/datapath/_openings.py
@@ -11,19 +11,19 @@
 from agatethread.routing import Route
 
 #: Time within which a cold backend server must be warm for an opening to wait; covers
-#: the copies of an opening and of the caller's next try.
+#: the copies of an opening and those of the caller's next try, each 1.4 s.
 _MAX_WARMUP_WAIT_S = 2.8
 
 log = make_logger("forwarder")
 
 
-def find_earlier_runs(
+def record_failed_tries(
     flow: Flow | None, packet: Packet, route: Route, now_s: float
 ) -> tuple[str, tuple[Backend, ...]]:
-    """Return the service and the runs that received the opening before.
+    """Record that the last run did not answer; return the runs tried and their service.
 
     A first opening from a reused port is another flow, and the route may have changed
-    in the meantime. The last run is marked as not having answered.
+    in the meantime.
 
     Parameters
     ----------
@@ -56,7 +56,7 @@
     cold: ColdLimits,
     now_s: float,
 ) -> bool:
-    """Return whether a cold run can accept an opening before its caller's timeout.
+    """Return whether a cold run can accept an opening before the caller gives up.
 
     Parameters
     ----------
--- a/src/agatethread/datapath/_places.py
+++ b/src/agatethread/datapath/_places.py
@@ -6,25 +6,25 @@
 from agatethread.balancing import GroupLoad
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._packets import FlowKey
-from agatethread.datapath._placing import place_limit
+from agatethread.datapath._placing import max_places
 
-#: Place time that is assumed until the first end.
+#: Time between placement and end that is assumed until the first end.
 _INITIAL_PLACE_TIME_S = 0.03
 #: Weight of the latest end in the moving average of place times.
 _PLACE_TIME_WEIGHT = 0.02
 #: A place without an end expires after this multiple of the usual place time, within
-#: the bounds below; the end may be lost, or seen by another instance only.
+#: the bounds below, since the report of the end may be lost.
 _EXPIRY_FACTOR = 10.0
 _MIN_EXPIRY_S = 0.3
 _MAX_EXPIRY_S = 3.0
-#: Age up to which the ends of expired places still adjust the usual time, so that
-#: places of a service with longer work stop expiring.
+#: Time after a placement in which an end of an expired place still adjusts the usual
+#: time, so that places of a service with longer work stop expiring.
 _LATE_END_WINDOW_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class Placement:
-    """An opening that has a place on a backend server."""
+    """A place of an opening on a backend server."""
 
     backend: Backend
     service: str
@@ -127,7 +127,7 @@
             del self._in_progress[placement.backend]
         return placement
 
-    def end(self, key: FlowKey) -> Placement | None:
+    def record_end(self, key: FlowKey) -> Placement | None:
         """Release the place of a flow whose work has ended, and update the usual time.
 
         Parameters
@@ -144,9 +144,9 @@
         ended = placement or self._expired.pop(key, None)
         if ended is not None:
             place_time_s = self.place_time_s(ended.service)
-            change_s = self._now_s() - ended.since_s - place_time_s
+            deviation_s = self._now_s() - ended.since_s - place_time_s
             self._place_times_s[ended.service] = (
-                place_time_s + change_s * _PLACE_TIME_WEIGHT
+                place_time_s + deviation_s * _PLACE_TIME_WEIGHT
             )
         return placement
 
@@ -235,16 +235,16 @@
         Returns
         -------
         GroupLoad
-            Without the places of servers that are avoided.
+            Load of the servers that are not avoided.
         """
         now_s = self._now_s()
-        answering = [server for server in servers if now_s >= server.penalty_until_s]
+        not_avoided = [server for server in servers if now_s >= server.penalty_until_s]
         return GroupLoad(
             free_count=sum(
-                max(0, place_limit(server) - self._in_progress.get(server, 0))
-                for server in answering
+                max(0, max_places(server) - self._in_progress.get(server, 0))
+                for server in not_avoided
             ),
             waiting_count=waiting_count,
-            place_count=sum(place_limit(server) for server in answering),
+            place_count=sum(max_places(server) for server in not_avoided),
             place_time_s=self.place_time_s(service),
         )
--- a/src/agatethread/datapath/_placing.py
+++ b/src/agatethread/datapath/_placing.py
@@ -1,8 +1,8 @@
 """Chooses the backend servers of new flows.
 
-Handles long flows with occasional requests next to flows of one request each. The cost
-of a server depends on its requests in progress, and little on its idle flows, which
-still tell servers apart under low load.
+Handles long flows with occasional requests next to flows of one request each. The
+server of the lowest cost is chosen: its requests in progress divided by its slots. Idle
+flows add little, and decide between servers of equal load.
 """
 
 import random
@@ -39,6 +39,7 @@
         remaining -= target.weight
         if remaining < 0:
             return target.service
+    # Rounding may leave a remainder of 0 after the last target.
     return next(target.service for target in targets if target.weight > 0)
 
 
@@ -75,8 +76,8 @@
 ) -> bool:
     """Return whether an unreachable run may be tried without an alternative.
 
-    It may be unreachable for the reachable control instances only, or return before the
-    caller's timeout.
+    Only the control instances may have lost contact to it, or it may be reachable again
+    before the caller's timeout.
 
     Parameters
     ----------
@@ -85,7 +86,7 @@
     now_s : float
         Present time.
     policies : Policies, optional
-        Time for which it is tried.
+        How long a run is tried after its reports stopped.
 
     Returns
     -------
@@ -100,6 +101,7 @@
 def _cost(
     backend: Backend, failure_domain: str, now_s: float, policies: Policies
 ) -> float:
+    """Return the requests for each slot, more for cold runs and other domains."""
     load = backend.in_flight + 1 + _IDLE_FLOW_LOAD * backend.flows
     if now_s < backend.warm_s:
         load *= policies.cold_factor
@@ -112,11 +114,11 @@
 def is_skipped_by_weight(
     backend: Backend, now_s: float, draw: Callable[[], float] = random.random
 ) -> bool:
-    """Return whether a run is left out of an opening, by chance and its weight.
+    """Return whether a run is skipped for an opening, by chance and its weight.
 
-    Handles instances with few requests in progress, where a higher cost would take all
-    flows from a run. A random choice gives it the share of its weight from any number
-    of instances.
+    Handles instances with few requests in progress, where a higher cost would leave a
+    run without any flow. A random choice gives it the share of its weight from any
+    number of instances.
 
     Parameters
     ----------
@@ -144,7 +146,8 @@
 ) -> Backend | None:
     """Return the least loaded run, a random one of equal loads.
 
-    Runs that did not answer this flow, and avoided or left out ones, rank last.
+    Runs that did not answer this flow rank last; before them rank the runs that are
+    avoided because of a penalty, or skipped because of their weight.
     """
     least_loaded, least_cost = None, (True, True, 0.0, 0.0)
     for backend in candidates:
@@ -181,6 +184,8 @@
         Runs that have not answered this flow; chosen only without an alternative.
     is_candidate : callable, optional
         Returns whether a run is a candidate.
+    policies : Policies, optional
+        Cost of cold runs and of other failure domains.
 
     Returns
     -------
@@ -195,12 +200,12 @@
     )
 
 
-def place_limit(backend: Backend) -> int:
+def max_places(backend: Backend) -> int:
     """Return the number of openings and requests that a run may have in progress.
 
     Handles full load, when urgent openings must not queue at a server. Each slot has
-    several places, so that it does not idle while packets and ends are on their way,
-    and two more absorb random arrivals.
+    several places, so that it does not idle while packets and reports of finished
+    requests are in transit, and two more absorb random arrivals.
 
     Parameters
     ----------
@@ -210,19 +215,21 @@
     Returns
     -------
     int
-        More than its slots, and less than its queue limit.
+        More than its slots, and less than a server accepts before it sheds requests.
     """
     return 3 * backend.slots + 2
 
 
-def choose_place(
+def choose_backend_with_place(
     backends: Iterable[Backend],
     in_progress: Mapping[Backend, int],
     now_s: float,
     tried: Sequence[Backend] = (),
     policies: Policies = DEFAULT_POLICIES,
 ) -> Backend | None:
-    """Return the run with the least work in progress by exact counts.
+    """Return the run with a free place that has the least work for its slots.
+
+    Used by the dispatcher of the runs, which counts all their work.
 
     Parameters
     ----------
@@ -250,7 +257,7 @@
     with_room = (
         backend
         for backend in backends
-        if in_progress.get(backend, 0) < place_limit(backend)
+        if in_progress.get(backend, 0) < max_places(backend)
     )
     return _choose_least_loaded(with_room, load_of, now_s, tried)
 
@@ -266,9 +273,9 @@
 ) -> Backend | None:
     """Return the run of a new flow among all services that may receive it.
 
-    Handles a failure domain that is cut off, without a reachable run of the chosen
-    service: another service of the route, or a run that may become reachable while the
-    caller waits, is better than a refusal.
+    Places nothing itself. Handles a failure domain that is cut off, without a reachable
+    run of the chosen service: another service of the route, or a run that may become
+    reachable while the caller waits, is better than a refusal.
 
     Parameters
     ----------
@@ -283,7 +290,7 @@
     tried : sequence of Backend, optional
         Runs that have not answered this flow.
     policies : Policies, optional
-        Which runs may be tried.
+        Whether other services and unreachable runs may be used.
     cold : ColdLimits, optional
         Limits of cold runs.
 
@@ -301,11 +308,11 @@
     def is_within_cold_limit(backend: Backend) -> bool:
         return accepts_new_flows(backend) and cold.allows_flow(backend, now_s)
 
-    def is_unreachable(backend: Backend) -> bool:
+    def is_possibly_alive(backend: Backend) -> bool:
         is_alive = may_be_alive(backend, now_s, policies)
         return is_alive and not cold.is_limited(backend, now_s)
 
-    for is_candidate in (is_warm, is_within_cold_limit, is_unreachable):
+    for is_candidate in (is_warm, is_within_cold_limit, is_possibly_alive):
         for service in services:
             backend = choose_backend(
                 runs_of(service), failure_domain, now_s, tried, is_candidate, policies
--- a/src/agatethread/datapath/_received_openings.py
+++ b/src/agatethread/datapath/_received_openings.py
@@ -1,4 +1,4 @@
-"""Openings that a dispatcher has received, and the actions it can take."""
+"""Openings that a dispatcher has received, and the functions that it acts through."""
 
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
@@ -37,7 +37,9 @@
     relayed: RelayedOpening
     #: Packed address of the instance that relayed it.
     sender: bytes
+    #: The urgency and times that decide on its admission.
     opening: Opening
+    #: Runs that received the opening before and did not answer.
     tried: tuple[Backend, ...] = ()
 
     @property
@@ -46,7 +48,7 @@
 
     @property
     def origin(self) -> bytes:
-        """Packed address of the instance that its caller's packets reach."""
+        """Packed address of the instance that receives the caller's packets."""
         return self.relayed.origin or self.sender
 
 
--- a/src/agatethread/datapath/_relaying.py
+++ b/src/agatethread/datapath/_relaying.py
@@ -1,10 +1,10 @@
-"""Relays openings of callers to the dispatchers of the own failure domain.
+"""Relays callers' openings to the dispatchers of this instance's failure domain.
 
 Handles many callers that compete for few slots through many entry instances. Under
-pressure an instance relays openings to dispatchers, or places them as a dispatcher
-itself; answers and later packets of a flow do not pass the dispatcher. The caller's
-next packet shows that the opening was placed, and the end of its request is reported to
-the dispatcher. A failed dispatcher delays the openings it received by one copy each.
+pressure an instance relays openings to dispatchers, or places them if it is one itself;
+answers and later packets of a flow do not pass the dispatcher. The caller's next packet
+shows that the opening was placed, and the end of its request is reported to the
+dispatcher. If a dispatcher fails, the caller's next copy goes to another one.
 """
 
 import random
@@ -24,19 +24,19 @@
     WorkEnded,
 )
 
-#: Openings without a sign of life after which a dispatcher is suspected, more than one
-#: since a message may be lost; a suspected dispatcher is avoided for some time, until
-#: control instances replace it.
+#: Lost openings after which a dispatcher is suspected; more than one, since a message
+#: may be lost.
 _MISSES_BEFORE_SUSPICION = 2
+#: Time for which a suspected dispatcher is avoided, until control instances replace it.
 _SUSPICION_S = 2.0
-#: Retention of a relayed flow without packets; its dispatcher has expired it by then.
+#: Retention of a relayed flow after its latest opening; longer than that of its place.
 _RETENTION_S = 5.0
 #: Time after the latest copy in which a relayed opening counts as unplaced; longer than
-#: the interval of copies, which refused callers do not send.
+#: the interval between copies. Refused callers send no copy.
 _UNPLACED_WINDOW_S = 0.45
-#: Shorter than the time after which callers reuse ports.
+#: Age up to which a repeated packet is a duplicate; callers reuse ports later.
 _DUPLICATE_WINDOW_S = 0.15
-#: Limit of stored flows; above those of a full retention time under overload.
+#: Limit of stored flows; more than are relayed in the retention time under overload.
 _MAX_FLOWS = 20_000
 
 log = make_logger("relay")
@@ -50,9 +50,10 @@
     last_sent_s: float
     #: Whether a packet of the flow has shown its placement.
     is_placed: bool = False
+    #: Whether a request waited for its answer at the latest packet.
     is_busy: bool = False
-    #: Whether it counts as unplaced.
-    is_counted: bool = False
+    #: Whether it is included in the unplaced openings of its service.
+    is_counted_unplaced: bool = False
 
 
 class OpeningRelay:
@@ -100,14 +101,14 @@
         self._suspicions_s: dict[bytes, tuple[float, float]] = {}
         #: Lost openings of each dispatcher since its latest sign of life.
         self._misses: Counter[bytes] = Counter()
-        self._pressed_services: set[str] = set()
+        self._services_under_pressure: set[str] = set()
         self._resumed_s = now_s()
 
     def __len__(self) -> int:
         return len(self._flows)
 
     def relay(self, packet: Packet, service: str, table_version: int) -> bool:
-        """Relay an opening to a dispatcher under pressure.
+        """Relay an opening to a dispatcher if its service is under pressure.
 
         Parameters
         ----------
@@ -116,7 +117,7 @@
         service : str
             The chosen service.
         table_version : int
-            Version of the routing table that names it.
+            Version of the routing table that names the service.
 
         Returns
         -------
@@ -135,7 +136,7 @@
             packet.copy or not self._is_under_pressure(service, now_s)
         ):
             return False
-        if flow is not None and self._is_lost(packet, flow, now_s):
+        if flow is not None and self._detect_loss(packet, flow, now_s):
             flow = self._reassign(packet.key, flow, now_s)
         elif flow is None:
             flow = self._add(packet.key, service, now_s)
@@ -166,14 +167,14 @@
         flow.dispatcher = dispatcher
         return flow
 
-    def _is_lost(self, packet: Packet, flow: _RelayedFlow, now_s: float) -> bool:
-        """Return whether the dispatcher has lost an opening whose copy arrived."""
+    def _detect_loss(self, packet: Packet, flow: _RelayedFlow, now_s: float) -> bool:
+        """Return whether an opening whose copy arrived was lost, and count the loss."""
         if flow.dispatcher == self._own_address:
             return False
         if self._last_alive_s.get(flow.dispatcher, 0.0) >= flow.last_sent_s:
             return False
         if flow.last_sent_s < self._resumed_s:
-            # Its sign of life may have arrived during a pause of this instance.
+            # The dispatcher's sign of life may have arrived during a pause.
             return False
         misses = self._misses[flow.dispatcher] = self._misses[flow.dispatcher] + 1
         if misses >= _MISSES_BEFORE_SUSPICION:
@@ -196,9 +197,9 @@
     ) -> bytes | None:
         """Return this instance itself, else a dispatcher drawn by its slots.
 
-        Placing on own servers needs no message. Suspected dispatchers are left out
-        while most others are not suspected; otherwise None is returned, and this
-        instance places by its own counts.
+        This instance itself needs no message. Suspected dispatchers are left out if
+        more than half of all remain; otherwise None is returned, and this instance
+        places by its own counts.
         """
         slots = self._groups.count_slots(service)
         if self._own_address in slots:
@@ -245,30 +246,30 @@
         )
 
     def _is_under_pressure(self, service: str, now_s: float) -> bool:
-        """Return whether so many slots are in use that openings are relayed."""
+        """Update the pressure of a service; return whether its openings are relayed."""
         self._uncount_outdated(now_s)
         in_flight_count = sum(run.in_flight for run in self._runs_of(service))
-        is_pressed = self._gauge.is_high(
+        is_under_pressure = self._gauge.is_high(
             service,
             in_flight_count + self._unplaced_counts.get(service, 0),
             self._groups.entry_count,
             sum(self._groups.count_slots(service).values()),
             now_s,
         )
-        if is_pressed != (service in self._pressed_services):
+        if is_under_pressure != (service in self._services_under_pressure):
             (
-                self._pressed_services.add
-                if is_pressed
-                else self._pressed_services.discard
+                self._services_under_pressure.add
+                if is_under_pressure
+                else self._services_under_pressure.discard
             )(service)
             log.info(
-                Event.PRESSURE_BEGINS if is_pressed else Event.PRESSURE_ENDS,
+                Event.PRESSURE_BEGINS if is_under_pressure else Event.PRESSURE_ENDS,
                 service=service,
                 in_flight=in_flight_count,
                 entries=self._groups.entry_count,
                 dispatchers=len(self._groups.dispatchers),
             )
-        return is_pressed
+        return is_under_pressure
 
     def unplaced_sent_s(self, key: FlowKey) -> float | None:
         """Return when a relayed opening, or its latest copy, was sent.
@@ -287,7 +288,7 @@
         return flow.last_sent_s if flow is not None and not flow.is_placed else None
 
     def on_packet(self, key: FlowKey, is_busy: bool, is_over: bool) -> None:
-        """Update a relayed flow by a packet of its caller.
+        """Update a relayed flow by a caller's packet; report its end to the dispatcher.
 
         Parameters
         ----------
@@ -318,7 +319,7 @@
         dispatcher : bytes
             Its packed address.
         since_s : float
-            Time at which it was alive, not after it received the opening.
+            Latest time at which it was certainly alive.
         """
         self._last_alive_s[dispatcher] = max(
             since_s, self._last_alive_s.get(dispatcher, -inf)
@@ -357,19 +358,19 @@
         self._uncount_unplaced(self._flows.pop(key))
 
     def _count_unplaced(self, flow: _RelayedFlow) -> None:
-        if not flow.is_counted:
-            flow.is_counted = True
+        if not flow.is_counted_unplaced:
+            flow.is_counted_unplaced = True
             count = self._unplaced_counts.get(flow.service, 0)
             self._unplaced_counts[flow.service] = count + 1
         self._recently_sent.append((flow.last_sent_s, flow))
 
     def _uncount_unplaced(self, flow: _RelayedFlow) -> None:
-        if flow.is_counted:
-            flow.is_counted = False
+        if flow.is_counted_unplaced:
+            flow.is_counted_unplaced = False
             self._unplaced_counts[flow.service] -= 1
 
     def _uncount_outdated(self, now_s: float) -> None:
-        """Stop counting openings that were lost or refused as unplaced."""
+        """Stop counting lost or refused openings as unplaced."""
         while (
             self._recently_sent
             and now_s - self._recently_sent[0][0] > _UNPLACED_WINDOW_S
@@ -379,7 +380,7 @@
                 self._uncount_unplaced(flow)
 
     def on_resume(self) -> None:
-        """Ignore openings from before a pause of this instance as evidence of loss."""
+        """Stop treating openings sent before a pause of this instance as lost."""
         self._resumed_s = self._now_s()
 
     def sweep(self) -> None:
@@ -389,6 +390,10 @@
         for key, flow in list(self._flows.items()):
             if flow.last_sent_s < min_sent_s:
                 self._delete(key)
-        for by_dispatcher in (self._last_alive_s, self._suspicions_s, self._misses):
-            for dispatcher in set(by_dispatcher) - set(self._groups.dispatchers):
-                del by_dispatcher[dispatcher]
+        for dispatcher_records in (
+            self._last_alive_s,
+            self._suspicions_s,
+            self._misses,
+        ):
+            for dispatcher in set(dispatcher_records) - set(self._groups.dispatchers):
+                del dispatcher_records[dispatcher]
--- a/src/agatethread/datapath/_shared_placing.py
+++ b/src/agatethread/datapath/_shared_placing.py
@@ -1,7 +1,7 @@
 """Shares the placing of openings among the entry instances of a failure domain.
 
-An instance relays the openings of its own callers, and is the dispatcher of some
-backend servers if control instances chose it.
+An instance relays the openings of its own callers, and places openings on some backend
+servers if control instances chose it as their dispatcher.
 """
 
 from collections.abc import Callable, Mapping, Sequence
@@ -26,15 +26,15 @@
     ReturnedOpening,
 )
 
-#: Interval between calls that shows a pause of this instance, several timer intervals.
-#: Callers have sent copies of openings that were relayed before it.
+#: Time without any call of this object that counts as a pause of the process; several
+#: timer intervals. Callers have sent copies after it, so older openings are dropped.
 _MIN_PAUSE_S = 0.2
-#: Time to read the messages that arrived during a pause.
+#: Time after a pause in which the messages that arrived during it are read.
 _CATCH_UP_S = 0.1
 
 
 class SharedPlacing:
-    """Handles the messages of entry instances about openings.
+    """Relays openings to dispatchers, and dispatches those relayed to this instance.
 
     Parameters
     ----------
@@ -88,7 +88,7 @@
         self._refuse = refuse
         self._counters = counters
         self._now_s = now_s
-        self._last_run_s = now_s()
+        self._last_active_s = now_s()
         #: Until then messages may be older than the latest pause.
         self._catching_up_until_s = now_s()
         self._groups = ServerGroups(failure_domain, runs_of, is_candidate, now_s)
@@ -126,7 +126,7 @@
         self._others.set_dispatchers(dispatchers)
 
     def relay(self, packet: Packet, service: str) -> bool:
-        """Relay an opening of a caller to a dispatcher under pressure.
+        """Relay a caller's opening to a dispatcher if its service is under pressure.
 
         Parameters
         ----------
@@ -140,7 +140,7 @@
         bool
             False if this instance has to place it.
         """
-        if self._is_catching_up():
+        if self._detect_pause():
             return False
         return self._relay.relay(packet, service, self._table().version)
 
@@ -149,15 +149,15 @@
     ) -> None:
         """Record a relayed flow like one that this instance placed.
 
-        To be called before a packet of an open flow is recorded: the packet shows that
-        the backend server has answered the opening.
+        To be called before a packet of an open flow is recorded, so that the packet
+        counts as the answer to the opening.
 
         Parameters
         ----------
         key : FlowKey
             The flow.
         backend : Backend
-            The run that its label names.
+            The run that the packet's label names.
         loads : FlowLoads
             Stores the flows.
         """
@@ -165,19 +165,19 @@
         if sent_s is not None and loads.get_flow(key) is None:
             loads.record_opening(key, backend, sent_s)
 
-    def on_packet(self, key: FlowKey, busy: bool, over: bool) -> None:
+    def on_packet(self, key: FlowKey, is_busy: bool, is_over: bool) -> None:
         """Update a relayed flow by a packet of its caller.
 
         Parameters
         ----------
         key : FlowKey
             The flow.
-        busy : bool
+        is_busy : bool
             Whether a request waits for its answer.
-        over : bool
+        is_over : bool
             Whether the flow has ended.
         """
-        self._relay.on_packet(key, busy, over)
+        self._relay.on_packet(key, is_busy, is_over)
 
     def on_message(self, message: RegistryMessage, source: bytes) -> None:
         """Handle a message of another entry instance, or of this one itself.
@@ -194,7 +194,7 @@
         DatagramError
             If a packet in it is malformed.
         """
-        is_catching_up = self._is_catching_up()
+        is_catching_up = self._detect_pause()
         body = message.WhichOneof("body")
         if body == "relayed" and is_catching_up:
             self._counters["relayed_too_old"] += 1
@@ -213,8 +213,8 @@
         if not packet.opens:
             raise DatagramError("relayed packet opens no flow")
         route = self._find_route(packet, relayed)
-        if route is None or not self.dispatcher.serves(relayed.service):
-            # Under another table the sender may have used another route.
+        if route is None or not self.dispatcher.has_server(relayed.service):
+            # The tables differ, or no server of this dispatcher accepts new flows.
             returned = ReturnedOpening(opening=relayed)
             self._send(RegistryMessage(returned=returned), source)
             return
@@ -238,14 +238,14 @@
                 self._refuse(packet, "no_room")
             return
         if not opening.origin:
+            # Not handed over, so it came from the relay of this instance.
             if self._relay.on_return(packet.key):
                 self._place_here(packet)
             return
-        # This instance handed the opening over.
         if self._others.pop_handover(packet.key) is None:
             return
         route = self._find_route(packet, opening)
-        if route is not None and self.dispatcher.serves(opening.service):
+        if route is not None and self.dispatcher.has_server(opening.service):
             self.dispatcher.receive(packet, route, opening, self._own_address)
         else:
             self._place_here(packet)
@@ -258,28 +258,31 @@
             else:
                 self.dispatcher.on_end(key)
 
-    def _is_catching_up(self) -> bool:
-        """Return whether messages read now may have arrived during a pause."""
+    def _detect_pause(self) -> bool:
+        """Return whether messages read now may have arrived during a pause.
+
+        Deletes the openings of the dispatcher if a pause has just ended.
+        """
         now_s = self._now_s()
-        if now_s - self._last_run_s > _MIN_PAUSE_S:
+        if now_s - self._last_active_s > _MIN_PAUSE_S:
             self._catching_up_until_s = now_s + _CATCH_UP_S
             self.dispatcher.reset()
             self._relay.on_resume()
-        self._last_run_s = now_s
+        self._last_active_s = now_s
         return now_s < self._catching_up_until_s
 
     def tick(self) -> None:
-        """Place or refuse waiting openings; to be called about 20 times a second."""
-        self._is_catching_up()
+        """Expire places and process waiting openings, about 20 times a second."""
+        self._detect_pause()
         self.dispatcher.tick()
 
     def sweep(self) -> None:
-        """Delete outdated entries; to be called about once a second."""
+        """Delete outdated flows, handovers and report times, about once a second."""
         self._relay.sweep()
         self.dispatcher.sweep()
 
     def gauges(self) -> dict[str, Callable[[], float]]:
-        """Return the gauges of openings under pressure by name.
+        """Return the gauges of waiting and relayed openings by name.
 
         Returns
         -------
--- a/src/agatethread/datapath/_weights.py
+++ b/src/agatethread/datapath/_weights.py
@@ -6,11 +6,11 @@
 from agatethread.observability import Event, make_logger
 from agatethread.wire.registry_pb2 import RunWeights
 
-#: Validity of received weights, which are sent more often. Without renewal a run gets
-#: its full share, since a slow run serves callers better than too few runs.
+#: Validity of received weights; several intervals of their messages. Without renewal a
+#: run gets its full share, since a slow run is better than too few runs.
 WEIGHT_VALIDITY_S = 1.5
 
-#: Up to this weight a run receives trial flows only.
+#: Weight up to which a run is logged as on trial.
 _TRIAL_PERCENT = 10
 
 log = make_logger("weights")
@@ -21,12 +21,12 @@
 
     Parameters
     ----------
-    find : callable
+    find_run : callable
         Returns the run of a label, if known.
     """
 
-    def __init__(self, find: Callable[[int], Backend | None]):
-        self._find = find
+    def __init__(self, find_run: Callable[[int], Backend | None]):
+        self._find_run = find_run
         self._reduced: set[Backend] = set()
 
     def __len__(self) -> int:
@@ -44,9 +44,9 @@
         """
         reduced: set[Backend] = set()
         for run_weight in weights.runs:
-            backend = self._find(run_weight.label)
+            backend = self._find_run(run_weight.label)
             if backend is None or backend.label != run_weight.label:
-                # The weight is that of an earlier run of the same server.
+                # The run is unknown, or an earlier one of the same server.
                 continue
             reduced.add(backend)
             _set_weight(backend, min(run_weight.percent, 100), now_s)
--- a/tests/datapath/pressure_simulation.py
+++ b/tests/datapath/pressure_simulation.py
@@ -16,7 +16,7 @@
 
 #: Ports of the urgent route, of the other one, and of the archive's route.
 URGENT, OTHER, ARCHIVE = 443, 444, 445
-#: One-way delays within and between failure domains, and round trip to a caller.
+#: One-way delays within a failure domain and between two; round trip to a caller.
 OWN_DOMAIN_DELAY_S, OTHER_DOMAIN_DELAY_S, CALLER_ROUND_TRIP_S = 0.0001, 0.0014, 0.006
 #: Requests in progress and waiting requests of a backend server before it sheds.
 SLOTS, QUEUE_LIMIT = 2, 8
@@ -47,7 +47,7 @@
     ):
         self.clock = Clock(0.0)
         self.rng = random.Random(seed)
-        # Instances use the module's generator; its seed makes runs reproducible.
+        # Instances draw from the generator of the `random` module.
         random.seed(seed)
         self.events, self.number, self.caller_count = [], 0, 0
         self.failed, self.message_loss, self.packet_loss = set(), 0.0, 0.0
@@ -57,6 +57,7 @@
         self.shed_count = self.arrival_count = 0
         self.entries, self.domain_of = {}, {}
         self.packets = {}
+        #: Failure domain, requests in progress and waiting requests by server number.
         self.servers = {
             1 + index: [domain, 0, []] for index, domain in enumerate(domains * servers)
         }
@@ -160,9 +161,9 @@
 
     def on_opening(self, number, key):
         """Answer an opening; the request follows after a round trip to the caller."""
-        caller = self.outcomes[key]
-        if caller["server"] is None and number not in self.unresponsive:
-            caller["server"] = number
+        attempt = self.outcomes[key]
+        if attempt["server"] is None and number not in self.unresponsive:
+            attempt["server"] = number
             self.schedule(CALLER_ROUND_TRIP_S, self.on_request, number, key)
 
     def on_request(self, number, key):
@@ -191,7 +192,7 @@
             self.work(number)
         self.schedule(CALLER_ROUND_TRIP_S, self.on_answer, number, key)
 
-    def start_call(self, port, domain, attempts=3, first_s=None, caller=None):
+    def start_call(self, port, domain, attempts_left=3, first_s=None, caller=None):
         """Start a call through an instance of the caller's failure domain."""
         own_domain_entries = [
             entry
@@ -211,7 +212,7 @@
             "domain": domain,
             "port": port,
             "first_s": self.clock() if first_s is None else first_s,
-            "attempts": attempts,
+            "attempts_left": attempts_left,
             "server": None,
             "answer_s": None,
             "refused": False,
@@ -221,13 +222,13 @@
         return call_opening.key
 
     def send_opening(self, call_opening):
-        caller = self.outcomes[call_opening.key]
-        if caller["server"] or caller["refused"]:
+        attempt = self.outcomes[call_opening.key]
+        if attempt["server"] or attempt["refused"]:
             return
-        if caller["entry"] in self.failed or caller["entry"] in self.paused:
+        if attempt["entry"] in self.failed or attempt["entry"] in self.paused:
             return
         self.packets[call_opening.data] = call_opening
-        self.entries[caller["entry"]].on_datagram(call_opening, ("router", 1))
+        self.entries[attempt["entry"]].on_datagram(call_opening, ("router", 1))
 
     def deliver_caller_packet(
         self, key, number, acknowledged, closes=False, payload_bytes=0
@@ -246,21 +247,22 @@
         )
 
     def on_answer(self, number, key):
-        caller = self.outcomes[key]
-        caller["answer_s"] = self.clock() - caller["first_s"]
+        attempt = self.outcomes[key]
+        attempt["answer_s"] = self.clock() - attempt["first_s"]
         self.deliver_caller_packet(key, number, 600)
         self.deliver_caller_packet(key, number, 601, closes=True)
 
     def on_refused(self, key):
-        caller = self.outcomes[key]
-        caller["refused"] = True
-        if caller["attempts"] > 1:
-            attempts_left, first_s = caller["attempts"] - 1, caller["first_s"]
-            caller_number, port = key.caller, caller["port"]
+        attempt = self.outcomes[key]
+        attempt["refused"] = True
+        if attempt["attempts_left"] > 1:
+            attempts_left, first_s = attempt["attempts_left"] - 1, attempt["first_s"]
+            caller_number, port = key.caller, attempt["port"]
             self.start_call(
-                port, caller["domain"], attempts_left, first_s, caller_number
+                port, attempt["domain"], attempts_left, first_s, caller_number
             )
-            caller["attempts"] = 0
+            # The attempt was replaced, and does not count any more.
+            attempt["attempts_left"] = 0
 
     def schedule_calls(
         self, per_s, seconds, urgent_ratio=1 / 3, domains="a", ports=None
@@ -274,6 +276,7 @@
             self.schedule(at_s, self.start_call, port, self.rng.choice(domains))
 
     def run(self, seconds):
+        """Process the events of the next seconds."""
         end_s, tick_s = self.clock() + seconds, self.clock()
         while self.events and self.events[0][0] <= end_s:
             due_s, _, callback, arguments = heapq.heappop(self.events)
@@ -299,15 +302,17 @@
             self.on_message(*arguments)
 
     def served_ratio(self, port=None, domain=None, aim_s=0.4):
-        """Return the ratio of callers that were answered within the aim."""
-        callers = [
-            caller
-            for caller in self.outcomes.values()
-            if caller["attempts"] and port in (None, caller["port"])
-            if domain in (None, caller["domain"])
+        """Return the ratio of calls that were answered within the aim."""
+        attempts = [
+            attempt
+            for attempt in self.outcomes.values()
+            if attempt["attempts_left"] and port in (None, attempt["port"])
+            if domain in (None, attempt["domain"])
         ]
-        in_time = [caller for caller in callers if (caller["answer_s"] or 9.0) <= aim_s]
-        return len(in_time) / len(callers)
+        in_time = [
+            attempt for attempt in attempts if (attempt["answer_s"] or 9.0) <= aim_s
+        ]
+        return len(in_time) / len(attempts)
 
     def count(self, name):
         return sum(forwarder._counters[name] for forwarder in self.entries.values())
--- a/tests/datapath/quality_simulation.py
+++ b/tests/datapath/quality_simulation.py
@@ -18,7 +18,7 @@
 
 DOMAINS = ("a", "b", "c")
 AIM_S = 0.4
-#: Requests in progress and waiting of a server, and delay and size of a refusal.
+#: A server's limits of requests in progress and waiting; delay and size of a refusal.
 SLOTS, QUEUE_LIMIT, REFUSAL_DELAY_S, REFUSAL_BYTES = 2, 8, 0.06, 150
 
 
@@ -41,7 +41,9 @@
         self.failure_domain = DOMAINS[number % len(DOMAINS)]
         self.backends = [Backend(server.run_report) for server in simulation.servers]
         by_label = {backend.label: backend for backend in self.backends}
-        self.watch = AnswerMonitor(lambda host, port: AIM_S, simulation.clock())
+        self.answer_monitor = AnswerMonitor(
+            lambda host, port: AIM_S, simulation.clock()
+        )
         self.weights = RunWeightStore(by_label.get)
         #: Delay with which it reads packets.
         self.read_delay_s = 0.0
@@ -61,8 +63,9 @@
         ]
         self.entries = [Entry(self, number) for number in range(entries)]
         self.by_address = {entry.address: entry for entry in self.entries}
-        self.keepers = {
-            address(number): self.make_keeper(number) for number in range(len(DOMAINS))
+        self.quality_keepers = {
+            address(number): self.make_quality_keeper(number)
+            for number in range(len(DOMAINS))
         }
         self.numbers, self.events = count(), []
         #: Time, duration, server and refusal of each request, and requests by server.
@@ -71,16 +74,18 @@
         self.schedule(0.0, self.send_request)
         for number, entry in enumerate(self.entries):
             self.schedule(0.2 * number / entries, self.report, entry)
-        for keeper in self.keepers.items():
+        for keeper in self.quality_keepers.items():
             self.schedule(0.0, self.judge, *keeper)
 
-    def make_keeper(self, number):
+    def make_quality_keeper(self, number):
         control_address = address(number)
         return QualityKeeper(
             DOMAINS[number],
             lambda: [server.run_report for server in self.servers],
             lambda: self.by_address.items(),
-            lambda: [other for other in self.keepers if other != control_address],
+            lambda: [
+                other for other in self.quality_keepers if other != control_address
+            ],
             lambda message, target: self.send(message, control_address, target),
             self.clock,
             Counters(),
@@ -91,6 +96,7 @@
         heapq.heappush(self.events, event)
 
     def run(self, until_s):
+        """Process the events up to a time."""
         while self.events and self.events[0][0] <= until_s:
             self.clock.value_s, _, callback, args = heapq.heappop(self.events)
             callback(*args)
@@ -105,15 +111,15 @@
 
     def receive(self, data, source, target):
         message = decode_message(data)
-        if target in self.keepers:
-            self.keepers[target].on_message(message, source)
+        if target in self.quality_keepers:
+            self.quality_keepers[target].on_message(message, source)
         else:
             self.by_address[target].weights.apply(message.weights, self.clock())
 
     def report(self, entry):
         self.schedule(0.2, self.report, entry)
         entry.weights.sweep(self.clock())
-        sums = entry.watch.collect(self.clock())
+        sums = entry.answer_monitor.collect(self.clock())
         if sums is not None and self.is_judging:
             control_address = address(DOMAINS.index(entry.failure_domain))
             self.send(RegistryMessage(answers=sums), entry.address, control_address)
@@ -134,7 +140,7 @@
         self.assigned_counts[server] += 1
         self.schedule(
             entry.read_delay_s,
-            entry.watch.on_request,
+            entry.answer_monitor.on_request,
             key,
             backend,
             now_s + entry.read_delay_s,
@@ -165,15 +171,15 @@
         self.schedule(0.2 if is_lost else 0.0, self.finish, request, size)
 
     def finish(self, request, size):
-        key, entry, backend, server, asked_s = request
+        key, entry, backend, server, requested_s = request
         self.schedule(entry.read_delay_s, self.on_answer, request, size)
-        took_s = self.clock() - asked_s
-        self.completed.append((asked_s, took_s, server, size == REFUSAL_BYTES))
+        took_s = self.clock() - requested_s
+        self.completed.append((requested_s, took_s, server, size == REFUSAL_BYTES))
 
     def on_answer(self, request, size):
         key, entry, backend = request[:3]
         backend.in_flight -= 1
-        entry.watch.on_answer(key, size, True, self.clock())
+        entry.answer_monitor.on_answer(key, size, True, self.clock())
 
     def late_ratio(self, from_s, until_s):
         """Return the ratio of late or refused requests among those sent in a period."""
@@ -186,12 +192,14 @@
 
     def count_with_quality(self, *qualities, servers=None):
         """Return how many servers have such a quality at their control instance."""
-        count = 0
+        matching = 0
         for server in servers or self.servers:
             control_address = address(DOMAINS.index(server.run_report.failure_domain))
             label = label_of(server.run_report.number, server.run_report.started_ms)
-            count += self.keepers[control_address].quality_of(label) in qualities
-        return count
+            matching += (
+                self.quality_keepers[control_address].quality_of(label) in qualities
+            )
+        return matching
 
     def count_ejected(self, servers=None):
         return self.count_with_quality(Quality.EJECTED, servers=servers)
--- a/tests/datapath/test_answer_reports.py
+++ b/tests/datapath/test_answer_reports.py
@@ -24,7 +24,7 @@
             self.view.update_run(run(nth))
         self.sent_messages = []
         self.links = [HubLink(SECOND, "b"), HubLink(FIRST, "a")]
-        self.reports = AnswerReporter(
+        self.reporter = AnswerReporter(
             self.forwarder,
             self.view,
             "a",
@@ -44,7 +44,7 @@
 
     def tick(self):
         self.clock.value_s += 0.2
-        self.reports.tick()
+        self.reporter.tick()
 
     def test_reports_to_preferred_control_instance(self):
         """One report goes to the control instance of the own failure domain only."""
@@ -61,7 +61,7 @@
         self.assertEqual(slow, [packet(1, number).label])
         self.assertEqual(self.counters["answers_seen"], 2)
         self.assertEqual(self.counters["answers_slow"], 1)
-        self.assertIn(f"{HOST:08x}:443", self.reports.dump()["usual_answer_s"])
+        self.assertIn(f"{HOST:08x}:443", self.reporter.dump()["usual_answer_s"])
 
     def test_drops_report_without_control_instance(self):
         """Answers are dropped while no control instance is reachable."""
@@ -75,10 +75,10 @@
         """Only weights of reachable control instances are applied."""
         label = packet(1, 1).label
         weights = RunWeights(runs=[RunWeight(label=label, percent=0)])
-        self.reports.on_weights(weights, UNKNOWN)
-        self.assertEqual(self.reports.count_reduced_runs(), 0)
-        self.reports.on_weights(weights, SECOND)
-        self.assertEqual(self.reports.dump()["weights"], {"i-1": 0.0})
+        self.reporter.on_weights(weights, UNKNOWN)
+        self.assertEqual(self.reporter.count_reduced_runs(), 0)
+        self.reporter.on_weights(weights, SECOND)
+        self.assertEqual(self.reporter.dump()["weights"], {"i-1": 0.0})
         numbers = [self.request(port, 0.01) for port in range(100)]
         self.assertEqual(numbers.count(1), 0)
 
@@ -87,13 +87,13 @@
         number = self.request(1, 0.01)
         label = packet(1, number).label
         weights = RunWeights(runs=[RunWeight(label=label, percent=0)])
-        self.reports.on_weights(weights, FIRST)
+        self.reporter.on_weights(weights, FIRST)
         sent = self.handle(packet(1, number, sequence=300, payload_bytes=80))
         self.assertEqual(sent, [("forward", number)])
 
 
-class TestPart(unittest.IsolatedAsyncioTestCase):
-    """Judging of answers in complete instances, on and off."""
+class TestJudgingOfAnswers(unittest.IsolatedAsyncioTestCase):
+    """Complete instances with judging of answers enabled and disabled."""
 
     def make_entry(self, number, registry_port, **fields):
         host = own_host(number)
@@ -130,8 +130,8 @@
         self.folder = tempfile.TemporaryDirectory()
         self.addCleanup(self.folder.cleanup)
 
-    async def test_disabled_part_handles_no_messages(self):
-        """Without the part nothing is measured, and its messages are ignored."""
+    async def test_disabled_judging_handles_no_messages(self):
+        """Nothing is measured, and messages about answers and weights are ignored."""
         port = free_port()
         entry, control = self.make_entry(5, port), self.make_control(port)
         for instance in (entry, control):
@@ -147,7 +147,7 @@
         for state in (entry.dump(), control.dump()):
             self.assertFalse({"weights", "usual_answer_s", "quality"} & state.keys())
 
-    async def test_enabled_part_sends_reports_and_weights(self):
+    async def test_enabled_judging_sends_reports_and_weights(self):
         """Two entry instances report slow answers, and receive the run's weight."""
         port, parts = free_port(), Parts(judges_answers=True)
         control = self.make_control(port, parts=parts)
--- a/tests/datapath/test_answers.py
+++ b/tests/datapath/test_answers.py
@@ -15,42 +15,47 @@
     def setUp(self):
         self.loads = FlowLoads(100)
         self.backend, self.other = Backend(run(1)), Backend(run(2))
-        self.watch = self.loads.answer_monitor = AnswerMonitor(lambda *_: 0.4, 0.0)
+        self.monitor = self.loads.answer_monitor = AnswerMonitor(lambda *_: 0.4, 0.0)
         self.now_s, self.port = 0.0, 0
         for _ in range(5):
             self.request(0.05)
         self.collect()
 
     def request(self, took_s, size=1_000, end="answer", backend=None):
-        """Send a request on a new flow, which ends as named."""
+        """Send a request on a new flow.
+
+        It ends with an "answer", "close", "next request" or "give up"; "" leaves the
+        request pending.
+        """
         backend = backend or self.backend
         self.port += 1
         self.loads.record_opening(opening(self.port).key, backend, self.now_s)
-        self.note(backend, payload_bytes=80)
+        self.send_packet(backend, payload_bytes=80)
         self.now_s += took_s
         if end == "answer":
-            self.note(backend, acknowledged=500 + size)
+            self.send_packet(backend, acknowledged=500 + size)
         elif end == "close":
-            self.note(backend, acknowledged=500 + size, closes=True)
+            self.send_packet(backend, acknowledged=500 + size, closes=True)
         elif end == "next request":
             fields = {"sequence": 180, "payload_bytes": 80}
-            self.note(backend, acknowledged=500 + size, **fields)
+            self.send_packet(backend, acknowledged=500 + size, **fields)
         elif end == "give up":
-            self.note(backend, closes=True)
+            self.send_packet(backend, closes=True)
 
-    def note(self, backend, **fields):
+    def send_packet(self, backend, **fields):
         self.loads.record_packet(packet(self.port, **fields), backend, self.now_s)
 
     def collect(self, step_s=0.2):
         """Return answers, slow and failed ones, of the first backend server."""
-        self.now_s = self.watch._collected_s + step_s
-        sums = self.watch.collect(self.now_s)
+        # The interval since the last collection; may set the clock back.
+        self.now_s = self.monitor._collected_s + step_s
+        sums = self.monitor.collect(self.now_s)
         for answer_sum in sums.runs if sums else ():
             if answer_sum.label == self.backend.label:
                 return answer_sum.answers, answer_sum.slow, answer_sum.failed
         return None
 
-    def test_compares_answer_with_usual_one_of_route(self):
+    def test_counts_slow_answer_once(self):
         """Three times the usual time is slow, and is reported once."""
         self.request(0.05)
         self.request(0.10)
@@ -60,25 +65,25 @@
 
     def test_counts_no_answer_before_baseline_is_known(self):
         """The first answers of a route only set its baseline."""
-        watch = AnswerMonitor(lambda *_: inf, 0.0)
-        self.loads.answer_monitor = watch
+        monitor = AnswerMonitor(lambda *_: inf, 0.0)
+        self.loads.answer_monitor = monitor
         self.request(2.0)
-        self.assertIsNone(watch.collect(0.2))
+        self.assertIsNone(monitor.collect(0.2))
 
     def test_counts_waiting_request_once(self):
         """It is slow once it has waited too long, and not again when answered."""
         self.request(0.0, end="")
         self.assertIsNone(self.collect(0.1))
         self.assertEqual(self.collect(0.1), (1, 1, 0))
-        self.note(self.backend, acknowledged=900)
+        self.send_packet(self.backend, acknowledged=900)
         self.assertIsNone(self.collect())
 
     def test_measures_retransmitted_request_from_first_packet(self):
         """A retransmission does not shorten the measured time."""
         self.request(0.25, end="")
-        self.note(self.backend, payload_bytes=80)
+        self.send_packet(self.backend, payload_bytes=80)
         self.now_s += 0.05
-        self.note(self.backend, acknowledged=900)
+        self.send_packet(self.backend, acknowledged=900)
         self.assertEqual(self.collect(0.4), (1, 1, 0))
 
     def test_counts_flow_without_answer_as_failed(self):
@@ -114,9 +119,9 @@
         """Pending requests are bounded by the recorded flows."""
         for _ in range(300):
             self.request(0.0, end="")
-        self.assertLessEqual(len(self.watch._pending), 100)
+        self.assertLessEqual(len(self.monitor._pending), 100)
         self.loads.sweep(self.now_s + 60.0)
-        self.assertEqual(self.watch._pending, {})
+        self.assertEqual(self.monitor._pending, {})
 
     def test_adapts_baseline_to_slower_route(self):
         """A route that is slow as a whole becomes usual."""
--- a/tests/datapath/test_dispatching.py
+++ b/tests/datapath/test_dispatching.py
@@ -25,7 +25,7 @@
         self.sent = []
         self.forward = mock.Mock()
         self.groups = groups = mock.Mock(
-            usable=lambda service, own: self.servers,
+            usable_servers=lambda service, own: self.servers,
             count_slots=lambda service: {OWN: 2},
         )
         actions = OpeningActions(
@@ -70,7 +70,7 @@
         self.assertEqual(self.forward.call_count, 1)
 
     def test_end_counts_as_answer_of_server(self):
-        """A server that answers other openings is not avoided for two lost ones."""
+        """A server that answers one opening is not avoided for two unanswered ones."""
         self.receive(1)
         self.receive(2)
         self.receive(3)
@@ -96,7 +96,7 @@
         self.assertEqual(self.forward.call_count, 1)
 
     def test_hands_over_when_servers_are_avoided(self):
-        """An opening goes to another dispatcher when no own server answers."""
+        """An opening goes to another dispatcher when all own servers are avoided."""
         self.others.set_dispatchers({"a": Dispatchers(addresses=[OWN, PEER])})
         self.groups.count_slots = lambda service: {OWN: 2, PEER: 2}
         self.server.penalty_until_s = self.clock() + 1.0
@@ -113,7 +113,7 @@
         self.dispatcher.tick()
         self.assertEqual(self.targets_of("load"), [PEER])
 
-    def test_reports_load_to_every_waiting_sender(self):
+    def test_sends_deferred_load_report(self):
         """A deferred report is sent before the caller's copy arrives."""
         for port in range(6):
             self.receive(port)
@@ -126,7 +126,7 @@
         self.assertIn(PEER, self.targets_of("load"))
 
     def test_sends_refusal_to_origin_of_opening(self):
-        """A refusal goes to the instance that the caller's packets reach."""
+        """A refusal goes to the instance that receives the caller's packets."""
         relayed = RelayedOpening(service="tab", waited_ms=1_400, hops=1, origin=REMOTE)
         for port in range(5):
             self.receive(port)
@@ -135,7 +135,7 @@
         self.assertEqual([message.refused for message in refused], [True])
 
     def test_forwards_copy_of_handed_over_opening(self):
-        """A copy follows its opening while that waits at another dispatcher."""
+        """A copy goes to the dispatcher at which its opening waits."""
         dispatchers = {"b": Dispatchers(addresses=[REMOTE])}
         self.others.set_dispatchers(dispatchers)
         for port in range(12):
@@ -149,6 +149,7 @@
             DispatcherLoad(service="tab", wait_ms=900, waiting=4), REMOTE
         )
         self.clock.value_s += 0.1
+        # Keeps the load valid.
         self.others.on_load(
             DispatcherLoad(service="tab", wait_ms=900, waiting=4), REMOTE
         )
--- a/tests/datapath/test_fair_placing.py
+++ b/tests/datapath/test_fair_placing.py
@@ -17,7 +17,10 @@
             self.schedule(at_s, self.start_call, port, "a", 3, None, caller)
 
     def served_ratio_of(self, callers, aim_s=0.4):
-        """Return the ratio of these callers' requests that were answered in time."""
+        """Return the ratio of these callers' calls that were answered in time.
+
+        A call that was retried counts with its last attempt only.
+        """
         attempts = [
             attempt for key, attempt in self.last_attempts() if key.caller in callers
         ]
@@ -29,7 +32,7 @@
         return [
             (key, attempt)
             for key, attempt in self.outcomes.items()
-            if attempt["attempts"]
+            if attempt["attempts_left"]
         ]
 
 
@@ -72,7 +75,7 @@
         self.assertGreater(simulation.served_ratio_of(self.ORDINARY), 0.999)
 
     def test_limits_no_caller_within_capacity(self):
-        """With room for all the greedy caller is not refused."""
+        """With room for all, no caller is refused, and the greedy one is served."""
         simulation = FairnessSimulation(entries=24, seed=3)
         for caller in self.ORDINARY:
             simulation.schedule_calls_of(caller, 5, 3.0)
--- a/tests/datapath/test_groups.py
+++ b/tests/datapath/test_groups.py
@@ -31,7 +31,7 @@
         self.assertEqual(sum(self.groups.count_slots("tab").values()), 16)
 
     def test_excludes_draining_server_at_once(self):
-        """A draining or evacuated server is not usable from the next query on."""
+        """A draining or evacuated server has no slots from the next call on."""
         self.groups.servers_by_dispatcher("tab")
         self.servers[0].draining = True
         self.servers[1].evacuated = True
--- a/tests/datapath/test_handover.py
+++ b/tests/datapath/test_handover.py
@@ -33,7 +33,7 @@
         target = self.others.choose_target(relayed, CANDIDATES)
         if target is None:
             return None
-        return target.address, target.elsewhere.wait_s, target.elsewhere.crosses
+        return target.address, target.alternative.wait_s, target.alternative.crosses
 
     def test_prefers_own_domain_dispatcher_with_room(self):
         """No other failure domain is chosen while the own one has room."""
@@ -42,7 +42,7 @@
         self.report_load(OTHER_PEER, 0)
         self.assertEqual(self.choose(), (OTHER_PEER, 0.0, False))
 
-    def test_tries_own_domain_dispatchers_without_report(self):
+    def test_chooses_own_domain_dispatcher_without_report(self):
         """A dispatcher with unknown load is chosen, but never this instance."""
         self.assertIn(self.choose()[0], {PEER, OTHER_PEER, THIRD_PEER})
         self.report_load(PEER, 50)
@@ -68,7 +68,7 @@
         self.others.record_handover(KEY, "tab", OTHER_REMOTE)
         self.assertEqual(self.choose(hops=2)[0], REMOTE)
 
-    def test_ignores_outdated_and_unknown_loads(self):
+    def test_ignores_outdated_loads_and_unknown_senders(self):
         """A load older than 0.1 s, or of an unknown sender, is not used."""
         self.report_load(address(77), 0)
         self.report_load(REMOTE, 0)
@@ -79,30 +79,30 @@
         self.assertIsNone(self.choose(hops=2))
 
     def test_finds_dispatcher_where_opening_waits(self):
-        """Only a later report of waiting openings makes a copy follow."""
+        """It may wait only if a report after the handover shows waiting openings."""
         self.report_load(REMOTE, 50, waiting=3)
         self.clock.value_s += 0.01
         self.others.record_handover(KEY, "tab", REMOTE)
-        self.assertIsNone(self.others.find_waiting_dispatcher(KEY, "tab"))
+        self.assertIsNone(self.others.find_dispatcher_with_queue(KEY, "tab"))
         self.clock.value_s += 0.01
         self.report_load(REMOTE, 0)
-        self.assertIsNone(self.others.find_waiting_dispatcher(KEY, "tab"))
+        self.assertIsNone(self.others.find_dispatcher_with_queue(KEY, "tab"))
         self.report_load(REMOTE, 50, waiting=3)
-        self.assertEqual(self.others.find_waiting_dispatcher(KEY, "tab"), REMOTE)
+        self.assertEqual(self.others.find_dispatcher_with_queue(KEY, "tab"), REMOTE)
 
-    def test_skips_dispatchers_with_unreachable_servers(self):
+    def test_skips_dispatchers_that_avoid_all_servers(self):
         """They do not count as busy, and their report stays valid for longer."""
-        for unreachable in (PEER, OTHER_PEER):
-            self.report_load(unreachable, 3_600_000)
+        for avoiding in (PEER, OTHER_PEER):
+            self.report_load(avoiding, 3_600_000)
         self.clock.value_s += 0.3
         self.assertEqual(self.choose(), (THIRD_PEER, None, False))
 
-    def test_allows_more_hops_from_unreachable_servers(self):
-        """An opening is handed over more often where no server answers."""
+    def test_allows_more_hops_if_all_servers_are_avoided(self):
+        """An opening is handed over up to five times where all servers are avoided."""
         relayed = RelayedOpening(service="tab", hops=4, crossed=True)
         self.assertIsNone(self.others.choose_target(relayed, CANDIDATES))
         self.assertIsNotNone(
-            self.others.choose_target(relayed, CANDIDATES, is_unreachable=True)
+            self.others.choose_target(relayed, CANDIDATES, avoids_all_servers=True)
         )
 
     def test_deletes_handovers(self):
--- a/tests/datapath/test_places.py
+++ b/tests/datapath/test_places.py
@@ -5,13 +5,14 @@
 
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._places import PlaceCounts
-from agatethread.datapath._placing import place_limit
+from agatethread.datapath._placing import max_places
 from tests.datapath.fixtures import packet, run
 from tests.fakes import Clock
 
 STEPS = st.lists(
     st.tuples(
-        st.sampled_from(["allocate", "release", "end", "expire"]), st.integers(1, 6)
+        st.sampled_from(["allocate", "release", "record_end", "expire"]),
+        st.integers(1, 6),
     )
 )
 
@@ -44,7 +45,7 @@
                     if places.find(key(port))
                 }
                 self.assertEqual(len(places), len(expected), expired_count)
-            elif step in ("release", "end"):
+            elif step in ("release", "record_end"):
                 placement = getattr(places, step)(key(port))
                 self.assertEqual(placement is not None, port in expected)
                 expected.pop(port, None)
@@ -54,7 +55,7 @@
             }
             self.assertEqual(dict(places.in_progress), counts)
             load = places.measure_load("tab", self.servers, 0)
-            total = sum(place_limit(server) for server in self.servers)
+            total = sum(max_places(server) for server in self.servers)
             self.assertEqual(
                 (load.place_count, load.free_count), (total, total - len(expected))
             )
@@ -66,14 +67,14 @@
             self.clock.value_s += 0.35
             self.places.expire()
             self.clock.value_s += 0.15
-            self.places.end(key(port))
+            self.places.record_end(key(port))
         self.assertGreater(self.places.place_time_s("tab"), 0.4)
         self.places.allocate(key(1), self.servers[0], "tab", ())
         self.clock.value_s += 0.5
         self.assertEqual(self.places.expire(), [])
 
     def test_excludes_places_of_avoided_servers(self):
-        """Avoided servers have no free places, even if all are avoided."""
+        """Places of avoided servers are not counted, even if all are avoided."""
         self.servers[0].penalty_until_s = self.clock() + 1.0
         self.assertEqual(
             self.places.measure_load("tab", self.servers, 0).place_count, 8
--- a/tests/datapath/test_placing.py
+++ b/tests/datapath/test_placing.py
@@ -12,7 +12,7 @@
 def simulate(choose, per_s=85.0, work_s=0.029, seconds=60.0, seed=1):
     """Simulate short flows on seven servers with two slots; return waits in seconds.
 
-    The load has bursts of half again as many flows.
+    The load has bursts of 50 % more flows.
     """
     draw = random.Random(seed)
     backends = [Backend(run(number)) for number in range(1, 8)]
@@ -20,6 +20,7 @@
     finished, waits, now_s = [], [], 0.0
     while now_s < seconds:
         burst_factor = 1.5 if int(now_s) % 10 < 3 else 1.0
+        # Needs 0.62 of the slots between bursts, and 0.92 in them.
         now_s += draw.expovariate(per_s * burst_factor * 3.5)
         while finished and finished[0][0] <= now_s:
             heapq.heappop(finished)[2].in_flight -= 1
@@ -33,9 +34,9 @@
     return waits
 
 
-def at_percentile(waits, ratio):
+def at_quantile(waits, quantile):
     """Return the wait that this share of all waits is below."""
-    return sorted(waits)[int(ratio * len(waits))]
+    return sorted(waits)[int(quantile * len(waits))]
 
 
 class TestChooseBackend(unittest.TestCase):
@@ -84,7 +85,7 @@
         random_choice = simulate(lambda backends, draw, _: draw.choice(backends))
         self.assertLess(mean(least_loaded), mean(random_choice) / 3)
         self.assertLess(
-            at_percentile(least_loaded, 0.99), at_percentile(random_choice, 0.99) / 3
+            at_quantile(least_loaded, 0.99), at_quantile(random_choice, 0.99) / 3
         )
 
 
@@ -115,8 +116,8 @@
         self.assertIs(self.place(("archive",)), self.other_run)
         self.assertIsNone(self.place(("archive",), now_s=120.0))
 
-    def test_rejects_unreachable_run_known_to_have_ended(self):
-        """Ended, draining and ambiguous runs are not tried."""
+    def test_rejects_ended_draining_or_duplicate_label_run(self):
+        """Such unreachable runs are not tried, even without an alternative."""
         for state in ("ended", "draining", "shares_label"):
             self.setUp()
             self.stop_reports(self.other_run)
--- a/tests/datapath/test_quality_simulation.py
+++ b/tests/datapath/test_quality_simulation.py
@@ -50,7 +50,7 @@
                 simulation.count_with_quality(*AFFECTED, servers=slow), 5
             )
 
-    def test_long_tails_eject_no_server(self):
+    def test_long_tails_eject_at_most_one_server(self):
         """Three of a hundred requests take seven times as long on every server."""
         simulation = QualitySimulation(seed=3)
         for step in range(1, 21):
@@ -78,7 +78,7 @@
             self.assertEqual(simulation.count_ejected(), 0)
             self.assertLessEqual(simulation.count_with_quality(*AFFECTED), 4)
 
-    def test_slow_entry_instances_eject_no_server(self):
+    def test_slow_entry_instances_eject_at_most_one_server(self):
         """Five entry instances read packets 0.4 s late."""
         simulation = QualitySimulation(seed=6)
         for entry in simulation.entries[:5]:
@@ -94,7 +94,7 @@
         self.assertEqual(simulation.count_with_quality(*AFFECTED), 0)
 
     def test_tolerates_lost_messages(self):
-        """Slow servers are found while a fifth of all messages is lost."""
+        """Slow servers are doubted or ejected while a fifth of all messages is lost."""
         simulation = QualitySimulation(seed=8)
         simulation.message_loss = 0.2
         simulation.run(3.0)
--- a/tests/datapath/test_relaying.py
+++ b/tests/datapath/test_relaying.py
@@ -17,18 +17,20 @@
         self.sent = []
         self.groups = mock.Mock(entry_count=4, dispatchers=(FIRST, SECOND))
         self.groups.count_slots.return_value = {FIRST: 8}
-        self.busy = mock.Mock(in_flight=0)
+        self.backend = mock.Mock(in_flight=0)
         self.relay = OpeningRelay(
             OWN,
             self.groups,
-            lambda service: [self.busy],
+            lambda service: [self.backend],
             lambda message, target: self.sent.append((message, target)),
             self.clock,
             Counters(),
         )
-        gauge = mock.patch.object(self.relay, "_is_under_pressure", return_value=True)
-        gauge.start()
-        self.addCleanup(gauge.stop)
+        pressure = mock.patch.object(
+            self.relay, "_is_under_pressure", return_value=True
+        )
+        pressure.start()
+        self.addCleanup(pressure.stop)
 
     def relay_opening(self, port=1, copy=0, service="tab"):
         return self.relay.relay(opening(port, copy=copy), service, 1)
@@ -52,14 +54,14 @@
         self.assertEqual(len(self.sent), 1)
 
     def lose_openings(self, *ports):
-        """Relay openings, and their copies without a sign of life."""
+        """Return whether copies are relayed while the dispatcher is silent."""
         for port in ports:
             self.relay_opening(port=port)
         self.clock.value_s += 0.2
         return [self.relay_opening(port=port, copy=1) for port in ports]
 
-    def test_ignores_sign_of_life_of_earlier_flow(self):
-        """A flow from before the lost openings does not end the suspicion."""
+    def test_ignores_sign_of_life_from_before_loss(self):
+        """A placement from before the lost openings does not end the suspicion."""
         self.relay_opening(port=1)
         self.clock.value_s += 0.05
         self.relay.on_packet(opening(1).key, True, False)
@@ -68,10 +70,11 @@
 
     def test_tolerates_one_lost_opening(self):
         """After one lost opening the dispatcher still receives openings."""
+        # No other dispatcher is left for the copy.
         self.assertEqual(self.lose_openings(2), [False])
         self.assertTrue(self.relay_opening(port=3))
 
-    def test_later_flow_ends_suspicion(self):
+    def test_later_sign_of_life_ends_suspicion(self):
         """A sign of life after the lost openings ends the suspicion."""
         self.clock.value_s += 0.19
         self.assertEqual(self.lose_openings(1, 2), [False, False])
--- a/tests/datapath/test_shared_placing.py
+++ b/tests/datapath/test_shared_placing.py
@@ -2,7 +2,7 @@
 from collections import Counter
 from unittest import mock
 
-from agatethread.datapath._placing import place_limit
+from agatethread.datapath._placing import max_places
 from agatethread.wire.registry_pb2 import RegistryMessage
 from tests.datapath.fixtures import opening
 from tests.datapath.pressure_simulation import (
@@ -16,7 +16,7 @@
 
 
 class TestPressure(unittest.TestCase):
-    """Calls that need nearly all slots of 8 servers."""
+    """Entry instances that share placing under different loads."""
 
     def run_calls(self, per_s, **options):
         simulation = PressureSimulation(**options)
@@ -75,7 +75,7 @@
         simulation.run(1.0)
         return simulation
 
-    def test_failed_dispatcher_costs_one_copy(self):
+    def test_copies_replace_openings_of_failed_dispatcher(self):
         """Its openings are placed by copies, and it receives none for a while."""
         simulation = self.start_under_load()
         failed_entry = next(iter(simulation.entries))
@@ -91,7 +91,8 @@
         late = [
             caller
             for caller in callers
-            if caller["attempts"] and (caller["answer_s"] or 9) > 0.4
+            # A missing answer is late.
+            if caller["attempts_left"] and (caller["answer_s"] or 9) > 0.4
         ]
         self.assertLess(len(late), 0.05 * len(callers))
         self.assertGreater(simulation.count("dispatchers_silent"), 5)
@@ -124,7 +125,7 @@
         before = simulation.count("openings_dispatched_urgency_1")
         simulation.run(0.5)
         self.assertLess(simulation.count("openings_dispatched_urgency_1") - before, 150)
-        # Two of eight dispatchers, and 16 of 24 instances relay: about 67 of 400.
+        # Two of eight dispatchers return the openings that 16 of 24 instances relay.
         self.assertGreater(simulation.count("openings_returned"), 50)
 
     def test_limits_openings_to_places(self):
@@ -136,23 +137,23 @@
         for forwarder in simulation.entries.values():
             places = forwarder.shared_placing.dispatcher._places
             for backend, count in places.in_progress.items():
-                self.assertLessEqual(count, place_limit(backend))
+                self.assertLessEqual(count, max_places(backend))
 
     def test_returns_opening_of_other_service(self):
         """A dispatcher places only openings that its own table allows."""
         simulation = PressureSimulation(entries=8)
         (entry_address, forwarder), *_ = simulation.entries.items()
-        foreign_opening = opening(5)
+        opening_of_other_service = opening(5)
         message = RegistryMessage()
         message.relayed.packet = b"x"
         message.relayed.service = "archive"
         message.relayed.table_version = 1
-        simulation.packets[b"x"] = foreign_opening
+        simulation.packets[b"x"] = opening_of_other_service
         with mock.patch.object(simulation, "send_message") as send_message:
             forwarder.shared_placing.on_message(message, address(1_001))
         self.assertEqual(send_message.call_args.args[1].WhichOneof("body"), "returned")
 
-    def test_unresponsive_servers_cost_one_copy(self):
+    def test_serves_calls_while_servers_are_unresponsive(self):
         """A third of the servers fails under a load that the others can handle."""
         for seed in (1, 2, 5):
             simulation = PressureSimulation(entries=24, servers=9, seed=seed)
@@ -185,7 +186,8 @@
         late = [
             caller
             for caller in callers
-            if caller["attempts"] and (caller["answer_s"] or 9) > 0.4
+            # A missing answer is late.
+            if caller["attempts_left"] and (caller["answer_s"] or 9) > 0.4
         ]
         self.assertLess(len(late), 0.05 * len(callers))
 
@@ -218,8 +220,8 @@
         self.assertGreater(simulation.served_ratio(), 0.985)
         self.assertLess(simulation.shed_count, 0.01 * simulation.arrival_count)
 
-    def test_isolates_services_from_burst_of_other(self):
-        """Ten times the archive's capacity does not delay the tab's callers."""
+    def test_isolates_services_from_burst_of_other_service(self):
+        """A burst of ten times the archive's capacity does not delay other callers."""
         simulation = PressureSimulation(entries=24, archives=2)
         simulation.schedule_calls(90, 3.0)
         simulation.schedule_calls(2_000, 2.0, ports=[ARCHIVE])
--- a/tests/datapath/test_weights.py
+++ b/tests/datapath/test_weights.py
@@ -2,7 +2,7 @@
 import unittest
 
 from agatethread.datapath import Backend, choose_backend
-from agatethread.datapath._placing import choose_place
+from agatethread.datapath._placing import choose_backend_with_place
 from agatethread.datapath._weights import WEIGHT_VALIDITY_S, RunWeightStore
 from agatethread.wire.registry_pb2 import RunWeight, RunWeights
 from tests.datapath.fixtures import run
@@ -66,7 +66,7 @@
                     lambda: choose_backend(self.backends, "a", 10.0)
                 )
                 by_exact_counts = self.share(
-                    lambda: choose_place(self.backends, {}, 10.0)
+                    lambda: choose_backend_with_place(self.backends, {}, 10.0)
                 )
                 self.assertTrue(minimum <= by_own_counts <= maximum, by_own_counts)
                 self.assertTrue(minimum <= by_exact_counts <= maximum, by_exact_counts)
