--- a/src/agatethread/datapath/_answers.py
+++ b/src/agatethread/datapath/_answers.py
@@ -152,7 +152,7 @@
         answer_bytes : int
             Newly acknowledged bytes.
         is_prompt : bool
-            Whether no new request, which may be late, carries the acknowledgement.
+            Whether it is immediate, and not sent with the caller's next request.
         now_s : float
             Present time.
         """
--- a/src/agatethread/datapath/_dispatching.py
+++ b/src/agatethread/datapath/_dispatching.py
@@ -231,7 +231,7 @@
             self._record_share(received)
             return
         if not load.place_count and target is None and self._place(received):
-            # All servers are avoided and no other dispatcher is left: try one.
+            # All servers are avoided and no dispatcher is left: one is tried.
             return
         if decision is AdmissionDecision.HAND_OVER and target is not None:
             self._hand_over(received, target.address)
--- a/src/agatethread/datapath/_shared_placing.py
+++ b/src/agatethread/datapath/_shared_placing.py
@@ -26,15 +26,15 @@
     ReturnedOpening,
 )
 
-#: Time without any call of this object that counts as a pause of the process; several
-#: timer intervals. Callers have sent copies after it, so older openings are dropped.
+#: Time between two ticks or messages that counts as a pause of the process; several
+#: timer intervals. Callers have sent copies by then, so older openings are dropped.
 _MIN_PAUSE_S = 0.2
 #: Time after a pause in which the messages that arrived during it are read.
 _CATCH_UP_S = 0.1
 
 
 class SharedPlacing:
-    """Relays openings to dispatchers, and dispatches those relayed to this instance.
+    """Relays openings to dispatchers, and places those relayed to this instance.
 
     Parameters
     ----------
--- a/tests/datapath/quality_simulation.py
+++ b/tests/datapath/quality_simulation.py
@@ -95,7 +95,7 @@
         event = (self.clock() + delay_s, next(self.numbers), callback, args)
         heapq.heappush(self.events, event)
 
-    def run(self, until_s):
+    def run_until(self, until_s):
         """Process the events up to a time."""
         while self.events and self.events[0][0] <= until_s:
             self.clock.value_s, _, callback, args = heapq.heappop(self.events)
--- a/tests/datapath/test_dispatching.py
+++ b/tests/datapath/test_dispatching.py
@@ -149,7 +149,6 @@
             DispatcherLoad(service="tab", wait_ms=900, waiting=4), REMOTE
         )
         self.clock.value_s += 0.1
-        # Keeps the load valid.
         self.others.on_load(
             DispatcherLoad(service="tab", wait_ms=900, waiting=4), REMOTE
         )
