--- a/src/agatethread/balancing/__init__.py
+++ b/src/agatethread/balancing/__init__.py
@@ -12,7 +12,7 @@
 )
 from agatethread.balancing._dispatchers import assign_servers, choose_dispatchers
 from agatethread.balancing._fair_queue import FairQueue
-from agatethread.balancing._fairness import CallerShares, apply_caller_share
+from agatethread.balancing._fairness import CallerCounts, defer_if_over_share
 from agatethread.balancing._opening_queue import OpeningQueue
 from agatethread.balancing._pressure import PressureGauge
 from agatethread.balancing._quality import fresh_from_s, judge_service
@@ -36,7 +36,7 @@
     "UNJUDGED",
     "AnswerCounts",
     "Evidence",
-    "CallerShares",
+    "CallerCounts",
     "FairQueue",
     "GroupLoad",
     "Judgement",
@@ -53,6 +53,6 @@
     "decide_admission",
     "judge_service",
     "placement_deadline_s",
-    "apply_caller_share",
+    "defer_if_over_share",
     "assign_servers",
 ]
--- a/src/agatethread/balancing/_admission.py
+++ b/src/agatethread/balancing/_admission.py
@@ -1,8 +1,8 @@
 """Admission control for openings: place, queue, hand over or refuse.
 
-Handles short and lasting demand above the total number of places. An opening is queued
-if it can be placed before its caller gives up; less urgent openings have more ahead of
-them and are refused first.
+Decides what to do with openings that exceed the free places. An opening is queued if a
+place is expected for it before its caller gives up. Less urgent openings are queued
+behind more urgent ones, so they are refused first.
 """
 
 from enum import Enum
@@ -13,10 +13,11 @@
 #: Callers resend an unanswered opening after 0.2 and 0.6 s and give the flow up after
 #: 1.4 s; this leaves time for the backend server's answer.
 MAX_PLACEMENT_DELAY_S = 1.3
-#: How much shorter the wait in another failure domain must be: covers several round
-#: trips and the cost of traffic between failure domains.
+#: Minimum gain in expected wait for handing an opening over to another failure domain:
+#: several round trips and the cost of traffic between failure domains.
 _OTHER_DOMAIN_MARGIN_S = 0.03
-#: The same within the own failure domain: covers the transfer and stale load reports.
+#: Minimum gain in expected wait for handing an opening over within the failure domain:
+#: the transfer, and errors of the estimate by load reports that are out of date.
 _OWN_DOMAIN_MARGIN_S = 0.003
 
 
@@ -63,7 +64,7 @@
     Returns
     -------
     float
-        Time after which its caller has given up.
+        Time after which an answer can't reach the caller before it gives up.
     """
     return opening.requested_s + min(MAX_PLACEMENT_DELAY_S, opening.timeout_s)
 
@@ -93,7 +94,7 @@
     Returns
     -------
     AdmissionDecision
-        Never a refusal while a place is free.
+        Always `PLACE` while more places are free than openings are ahead.
     """
     if load.free_count > ahead_count:
         return AdmissionDecision.PLACE
--- a/src/agatethread/balancing/_dispatchers.py
+++ b/src/agatethread/balancing/_dispatchers.py
@@ -9,10 +9,10 @@
 
 from xxhash import xxh64_intdigest
 
-#: The slots of one small backend server, so that many instances share the placement
-#: work and no link carries the openings of all.
+#: Slots of the failure domain for each dispatcher. With fewer dispatchers, placement
+#: and its traffic would be concentrated on a few instances and their links.
 _SLOTS_PER_DISPATCHER = 2
-#: Most dispatchers that a message can list.
+#: Maximum number of dispatchers that a message can list.
 _MAX_DISPATCHERS = 128
 
 
@@ -20,12 +20,14 @@
     return xxh64_intdigest(dispatcher + server_id.to_bytes(8, "big"))
 
 
-def choose_dispatchers(entries: Sequence[bytes], slot_count: int) -> tuple[bytes, ...]:
+def choose_dispatchers(
+    entry_addresses: Sequence[bytes], slot_count: int
+) -> tuple[bytes, ...]:
     """Return the entry instances that place the openings of a failure domain.
 
     Parameters
     ----------
-    entries : sequence of bytes
+    entry_addresses : sequence of bytes
         Packed addresses of the serving entry instances, in any order.
     slot_count : int
         Slots of the domain's backend servers.
@@ -33,13 +35,16 @@
     Returns
     -------
     tuple of bytes
-        Packed addresses; the same for the same entries in any order. An entry instance
-        that joins or leaves changes at most one. Empty without entries.
+        Packed addresses; the same for the same instances in any order. With the same
+        `slot_count`, an entry instance that joins or leaves replaces at most one
+        dispatcher, or changes their number by one. Empty without entry instances.
     """
+    # Server id 0 stands for no server: the order depends on the address only.
     wanted_count = ceil(slot_count / _SLOTS_PER_DISPATCHER)
     count = min(max(1, wanted_count), _MAX_DISPATCHERS)
     ranked = sorted(
-        set(entries), key=lambda address: (_rendezvous_weight(address, 0), address)
+        set(entry_addresses),
+        key=lambda address: (_rendezvous_weight(address, 0), address),
     )
     return tuple(ranked[:count])
 
@@ -65,21 +70,26 @@
     dict of bytes to tuple of int
         Server identifiers by dispatcher; empty without dispatchers.
     """
-    shares: dict[bytes, list[int]] = {address: [] for address in dispatchers}
-    if not shares:
+    assigned_by_dispatcher: dict[bytes, list[int]] = {
+        address: [] for address in dispatchers
+    }
+    if not assigned_by_dispatcher:
         return {}
-    min_count, remainder = divmod(len(set(server_ids)), len(shares))
+    min_count, remainder = divmod(len(set(server_ids)), len(assigned_by_dispatcher))
     for server_id in sorted(set(server_ids)):
         ranked = sorted(
-            shares,
+            assigned_by_dispatcher,
             key=lambda address: (-_rendezvous_weight(address, server_id), address),
         )
         for dispatcher in ranked:
-            assigned = len(shares[dispatcher])
+            assigned = len(assigned_by_dispatcher[dispatcher])
             if assigned < min_count:
                 break
             if assigned == min_count and remainder:
                 remainder -= 1
                 break
-        shares[dispatcher].append(server_id)
-    return {dispatcher: tuple(assigned) for dispatcher, assigned in shares.items()}
+        assigned_by_dispatcher[dispatcher].append(server_id)
+    return {
+        dispatcher: tuple(assigned)
+        for dispatcher, assigned in assigned_by_dispatcher.items()
+    }
--- a/src/agatethread/balancing/_fair_queue.py
+++ b/src/agatethread/balancing/_fair_queue.py
@@ -1,7 +1,8 @@
-"""Fair queue: round robin among owners, earliest deadline first within an owner.
+"""Fair queue: round robin among partners, earliest deadline first within a partner.
 
-Handles more work than slots, most of it from one owner: the first request of another
-owner waits for at most one round of turns.
+Handles more work than slots, most of it from one partner (the party that sends it, such
+as a client account): the first request of another partner waits for at most one round
+of turns.
 """
 
 from bisect import bisect_left, bisect_right, insort
@@ -18,9 +19,9 @@
 
 
 class FairQueue(Generic[T]):
-    """Queues of several owners that are served in turn.
+    """Queues of several partners that are served in turn.
 
-    An owner goes behind the others after its turn. Empty queues are removed.
+    A partner goes behind the others after its turn. Empty queues are removed.
     """
 
     def __init__(self) -> None:
@@ -35,21 +36,21 @@
     def __contains__(self, item: T) -> bool:
         return item in self._positions
 
-    def push(self, owner: str, item: T, due_s: float) -> None:
-        """Add an item to its owner's queue.
+    def push(self, partner: str, item: T, due_s: float) -> None:
+        """Add an item to its partner's queue.
 
         Parameters
         ----------
-        owner : str
-            Owner whose turn the item uses.
+        partner : str
+            Partner whose turn the item uses.
         item : object
             An item that is not queued yet.
         due_s : float
-            Due time.
+            Time by which the item must be completed.
         """
         number = next(self._sequence_numbers)
-        insort(self._queues.setdefault(owner, []), (due_s, number, item))
-        self._positions[item] = (owner, due_s, number)
+        insort(self._queues.setdefault(partner, []), (due_s, number, item))
+        self._positions[item] = (partner, due_s, number)
 
     def pop(self) -> T | None:
         """Remove and return the next item.
@@ -57,17 +58,17 @@
         Returns
         -------
         object or None
-            The first due item of the owner whose turn it is; None if the queue is
-            empty.
+            The item with the earliest due time of the partner whose turn it is; None if
+            the queue is empty.
         """
         if not self._queues:
             return None
-        owner = next(iter(self._queues))
-        queue = self._queues.pop(owner)
+        partner = next(iter(self._queues))
+        queue = self._queues.pop(partner)
         _, _, item = queue.pop(0)
         del self._positions[item]
         if queue:
-            self._queues[owner] = queue
+            self._queues[partner] = queue
         return item
 
     def discard(self, item: T) -> bool:
@@ -86,52 +87,52 @@
         position = self._positions.pop(item, None)
         if position is None:
             return False
-        owner, due_s, number = position
-        queue = self._queues[owner]
+        partner, due_s, number = position
+        queue = self._queues[partner]
         del queue[bisect_left(queue, (due_s, number))]
         if not queue:
-            del self._queues[owner]
+            del self._queues[partner]
         return True
 
-    def count_ahead(self, owner: str, due_s: float) -> int:
+    def count_ahead(self, partner: str, due_s: float) -> int:
         """Return an upper bound of the items served before a new item.
 
         Parameters
         ----------
-        owner : str
-            Owner of the new item.
+        partner : str
+            Partner of the new item.
         due_s : float
             Due time of the new item.
 
         Returns
         -------
         int
-            Items due no later in its owner's queue, plus those of other owners served
-            in as many rounds and one more.
+            Items due no later in its partner's queue, plus, for each other partner, at
+            most one item more than that number.
         """
-        own_count = bisect_right(self._queues.get(owner, []), (due_s, inf))
+        own_count = bisect_right(self._queues.get(partner, []), (due_s, inf))
         return own_count + sum(
             min(len(queue), own_count + 1)
             for other, queue in self._queues.items()
-            if other != owner
+            if other != partner
         )
 
-    def evict_last_of_longest(self, owner: str) -> T | None:
-        """Remove and return an item of the longest queue to make room for an owner.
+    def evict_last_of_longest(self, partner: str) -> T | None:
+        """Remove and return an item of the longest queue to make room for a partner.
 
         Parameters
         ----------
-        owner : str
-            Owner of the item to be added.
+        partner : str
+            Partner of the item to be added.
 
         Returns
         -------
         object or None
             The item due last in the longest queue; None if that queue would then be
-            shorter than the owner's queue with the added item.
+            shorter than the partner's queue with the added item.
         """
         longest = max(self._queues.values(), key=len, default=[])
-        own_count = len(self._queues.get(owner, []))
+        own_count = len(self._queues.get(partner, []))
         if len(longest) < own_count + 2:
             return None
         _, _, item = longest[-1]
@@ -139,7 +140,7 @@
         return item
 
     def pop_unservable(self, first_s: float, turn_s: float) -> list[T]:
-        """Remove and return the items that can't be served by their due time.
+        """Remove and return the items that can't be completed by their due time.
 
         Parameters
         ----------
@@ -151,7 +152,8 @@
         Returns
         -------
         list of object
-            The items; they use no turns. Takes linear time in the queued items.
+            The items; the others' times of completion are calculated without them.
+            Takes linear time in the queued items.
         """
         queues = deque(deque(queue) for queue in self._queues.values())
         done_s, unservable = first_s, []
--- a/src/agatethread/balancing/_fairness.py
+++ b/src/agatethread/balancing/_fairness.py
@@ -2,7 +2,7 @@
 
 Handles a caller that opens many times as many flows as the others while places are
 scarce: its openings are queued behind those of all other callers until it is within its
-share again. No opening is refused for this while a place is free.
+share again. Exceeding the share alone causes no refusal while a place is free.
 
 A caller is what the data path distinguishes: a source address or a client account.
 Programs that share an address count as one caller.
@@ -17,8 +17,8 @@
 #: Callers counted in a window of a service: more than a dispatcher can serve in that
 #: time. Bounds the memory.
 _MAX_CALLERS = 2_048
-#: Multiple of the mean of the other callers above which a caller exceeds its share.
-#: Callers with similar work differ by less.
+#: Multiple of the mean of the other callers above which a caller exceeds its share:
+#: more than the random variation between callers with equal work.
 _OVERUSE_FACTOR = 4.0
 #: Openings in both windows up to which no caller exceeds its share: allows two bursts
 #: of a few flows.
@@ -29,17 +29,19 @@
 class _Window:
     """Openings in a window, by caller (Misra-Gries summary).
 
-    An opening of a caller without a row lowers all rows by one if no row is free. Rows
-    are then too low by at most the openings of the window divided by the rows plus one.
+    A row is the counter of one caller. An opening of a caller without a row lowers all
+    rows by one if no row is free. Each row is then too low by at most
+    `opening_count / (limit_count + 1)`.
     """
 
-    number: int = 0
+    #: Time of the window's start in units of its length.
+    index: int = 0
     opening_count: int = 0
     rows: dict[int, int] = field(default_factory=dict)
     #: Callers counted before the rows ran out, and those of them that have no row in
     #: the previous window.
     caller_count: int = 0
-    new_count: int = 0
+    first_seen_count: int = 0
     is_truncated: bool = False
 
     def record(self, caller: int, previous: "_Window", limit_count: int) -> None:
@@ -60,15 +62,16 @@
         self.rows[caller] = 1
         if not self.is_truncated:
             self.caller_count += 1
-            self.new_count += caller not in previous.rows
+            self.first_seen_count += caller not in previous.rows
 
 
-class CallerShares:
-    """Openings of the last second, by caller, in bounded memory.
+class CallerCounts:
+    """Openings of the last 0.5 to 1 s, by caller, in bounded memory.
 
-    A caller's count is never too high, and too low by at most the openings of a window
-    divided by its rows plus one; with fewer callers than rows it is exact. The number
-    of callers is never overestimated, so a caller within its share is never reported.
+    A caller's count is never too high. In each window it is too low by at most
+    `opening_count / (limit_count + 1)`; with fewer callers than rows it is exact. The
+    number of callers is never overestimated, so `exceeds_share` is never True for a
+    caller within its share.
 
     Parameters
     ----------
@@ -140,25 +143,26 @@
         return own_count > _OVERUSE_FACTOR * mean_count
 
     def _advance_windows(self, now_s: float) -> None:
-        number = int(now_s // _WINDOW_S)
-        elapsed_windows = number - self._current.number
+        index = int(now_s // _WINDOW_S)
+        elapsed_windows = index - self._current.index
         if elapsed_windows <= 0:
             return
         self._previous = self._current if elapsed_windows == 1 else _Window()
-        self._current = _Window(number)
+        self._current = _Window(index)
 
     def _estimate_caller_count(self) -> int:
         current, previous = self._current, self._previous
         if previous.is_truncated:
-            # A caller without a row there may still have been counted there.
+            # A caller without a row in the previous window may still be in its
+            # caller_count.
             return max(current.caller_count, previous.caller_count)
-        return previous.caller_count + current.new_count
+        return previous.caller_count + current.first_seen_count
 
 
-def apply_caller_share(
+def defer_if_over_share(
     opening: Opening, exceeds_share: bool, waiting_count: int
 ) -> Opening:
-    """Return an opening, ranked last if its caller exceeds its share.
+    """Return an opening, deferred if its caller exceeds its share and others wait.
 
     Handles a caller that opens many more flows than others while places are scarce.
 
--- a/src/agatethread/balancing/_opening_queue.py
+++ b/src/agatethread/balancing/_opening_queue.py
@@ -1,8 +1,9 @@
 """Priority queue of openings that wait for a place.
 
 Handles short periods with more openings than places. More urgent openings go first.
-Within a rank, openings that can still meet their aim go before late ones, in order of
-due time, so that a lasting burst does not make all of them late.
+Within a rank, openings that can still be answered within the time that their caller
+wants (`aim_s`) go before late ones, in order of due time, so that a lasting burst does
+not make all of them late.
 """
 
 from collections.abc import Hashable
@@ -19,10 +20,11 @@
 
 #: Every n-th place goes to the less urgent rank whose first opening has waited longest,
 #: to prevent starvation.
-_RESERVED_SLOT_INTERVAL = 8
+_RESERVED_PLACE_INTERVAL = 8
 #: More than a dispatcher can place within the maximum placement delay.
 _MAX_WAITING = 2_000
-#: Removed entries stay in the heaps until they exceed the waiting ones by this number.
+#: Removed entries are deleted from the heaps of a rank once there are this many more of
+#: them than of waiting ones.
 _MAX_REMOVED = 64
 
 
@@ -40,14 +42,15 @@
     """Openings of one rank; removed entries are deleted from the heaps lazily."""
 
     waiting_count: int = 0
-    #: Ordered by due time; late openings are ordered by request time.
+    #: Heap by due time; an opening past its due time is moved to `late`.
     in_time: list[tuple[float, int, _Waiter[T]]] = field(default_factory=list)
+    #: Heap by request time.
     late: list[tuple[float, int, _Waiter[T]]] = field(default_factory=list)
 
-    def find_first(
+    def move_late_and_peek(
         self, now_s: float, sequence_numbers: "count[int]"
     ) -> _Waiter[T] | None:
-        """Return the first waiter, after moving those that have become late."""
+        """Move late waiters to `late`; return the first waiter without removing it."""
         while self.in_time:
             due_s, _, waiter = self.in_time[0]
             if not waiter.is_removed and due_s > now_s:
@@ -66,7 +69,10 @@
         return None
 
     def delete_removed(self) -> None:
-        """Delete removed entries if there are many; in a burst none comes first."""
+        """Delete removed entries if there are many.
+
+        During a burst they may never reach the top of a heap.
+        """
         entry_count = len(self.in_time) + len(self.late)
         if entry_count <= 2 * self.waiting_count + _MAX_REMOVED:
             return
@@ -151,13 +157,13 @@
         if not first_waiters:
             return None
         chosen = first_waiters[0]
-        # Reserved places go to less urgent openings, not to callers over their share.
+        # Reserved places go to less urgent openings, not to deferred ones.
         less_urgent = [
             waiter
             for waiter in first_waiters[1:]
             if waiter.opening.rank < DEFERRED_RANK
         ]
-        if self._pop_count % _RESERVED_SLOT_INTERVAL == 0 and less_urgent:
+        if self._pop_count % _RESERVED_PLACE_INTERVAL == 0 and less_urgent:
             chosen = min(less_urgent, key=lambda waiter: waiter.opening.requested_s)
         self._remove(chosen)
         return chosen.item
@@ -165,7 +171,9 @@
     def _first_of_rank(self, rank: int, now_s: float) -> _Waiter[T] | None:
         """Return the first waiter of a rank whose caller has not given up."""
         while True:
-            waiter = self._rank_queues[rank].find_first(now_s, self._sequence_numbers)
+            waiter = self._rank_queues[rank].move_late_and_peek(
+                now_s, self._sequence_numbers
+            )
             if waiter is None or waiter.deadline_s >= now_s:
                 return waiter
             # Skip the expired waiter; `pop_expired` returns it later.
@@ -218,7 +226,7 @@
         return [waiter.item for waiter in expired]
 
     def count_ahead(self, rank: int) -> int:
-        """Return the number of openings ahead of a new one.
+        """Return an upper bound of the openings ahead of a new one.
 
         Parameters
         ----------
@@ -228,7 +236,8 @@
         Returns
         -------
         int
-            Queued openings of this and all lower ranks.
+            Queued openings of this and all lower ranks, including expired ones that
+            `pop_expired` has not removed yet.
         """
         return sum(
             rank_queue.waiting_count
--- a/src/agatethread/balancing/_pressure.py
+++ b/src/agatethread/balancing/_pressure.py
@@ -1,4 +1,4 @@
-"""Estimate of a service's slot utilization from one instance's own counts.
+"""Estimate of the share of a service's slots in use, from one instance's counts.
 
 Handles bursts of a few seconds that are spread over many entry instances. At low
 utilization each instance places by its own counts; under pressure placement is shared.
@@ -11,15 +11,16 @@
 #: Short enough to detect a burst within its first second, long enough to ignore a few
 #: flows that coincide.
 _SMOOTHING_S = 0.25
-#: Virtual openings that found nothing in progress. They damp the estimate when openings
-#: are rare, where two coinciding flows would look like a burst.
+#: Samples of zero work in progress that are added to the mean. They lower the estimate
+#: when openings are rare, where two coinciding flows would look like a burst.
 _IDLE_OPENING_COUNT = 3
-#: Pressure begins only above this smoothed sum of work in progress, and only after
-#: utilization has stayed high for this time: ignores a burst of a few openings.
+#: Minimum decayed sum of the samples of work in progress at which pressure may begin:
+#: ignores a burst of a few openings.
 _MIN_IN_PROGRESS_SUM = 3.0
+#: Pressure begins after utilization has been above the onset threshold for this time.
 _ONSET_S = 0.05
-#: Estimated utilization above which pressure begins and below which it ends. Below half
-#: of the slots callers rarely wait even without shared placement.
+#: Estimated utilization (0 to 1) above which pressure begins, and at or below which it
+#: ends; they differ so that pressure does not begin and end repeatedly.
 _ONSET_UTILIZATION = 0.45
 _END_UTILIZATION = 0.3
 
@@ -27,7 +28,8 @@
 @dataclass(slots=True)
 class _Estimate:
     updated_s: float
-    #: Sum of the work in progress that openings found, and their number; both decay.
+    #: Sum of the samples of work in progress, one for each opening, and their number;
+    #: both decay.
     in_progress_sum: float = 0.0
     opening_count: float = 0.0
     #: Start of the present period of utilization above the onset threshold.
@@ -38,15 +40,15 @@
 class PressureGauge:
     """Smoothed slot utilization of each service.
 
-    With random arrivals the mean work in progress that openings find equals the mean
-    over time. Openings are therefore weighted equally and not by the time since the
-    previous one.
+    The work in progress is sampled at each opening. With random arrivals the mean of
+    the samples equals the mean over time. Openings are therefore weighted equally and
+    not by the time since the previous one.
     """
 
     def __init__(self) -> None:
         self._estimates: dict[str, _Estimate] = {}
 
-    def is_high(
+    def record_opening(
         self,
         service: str,
         in_flight_count: int,
@@ -54,7 +56,9 @@
         slot_count: int,
         now_s: float,
     ) -> bool:
-        """Update the estimate and return whether a service is under pressure.
+        """Add a sample for an opening; return whether a service is under pressure.
+
+        Call this once for each opening.
 
         Parameters
         ----------
@@ -67,12 +71,12 @@
         slot_count : int
             The service's slots in the failure domain.
         now_s : float
-            Current time. Call this once for each opening.
+            Current time.
 
         Returns
         -------
         bool
-            Whether placement is to be shared among instances.
+            Whether openings are to be relayed to a dispatcher for placement.
         """
         estimate = self._estimates.get(service)
         if estimate is None:
--- a/src/agatethread/balancing/_quality.py
+++ b/src/agatethread/balancing/_quality.py
@@ -6,6 +6,9 @@
 means are unreliable. Instead, a server's share of bad answers is compared with the
 share that is usual in the service, by a binomial test. A service that is slow as a
 whole, lossy links and few answers eject no server.
+
+What is judged is a run: a backend server from one start to its end. A run is cleared
+when it returns from doubtful or probation to good.
 """
 
 from collections.abc import Iterable, Mapping
@@ -20,59 +23,63 @@
     Quality,
 )
 
-#: Lower bound of the usual share of bad answers. Servers with fewer bad answers stay
-#: good: moving their work would make callers of the other servers wait.
+#: Lower bound of the usual share of bad answers. Runs with a lower share stay good:
+#: moving their work would make callers of the other runs wait.
 MIN_USUAL_SHARE = 0.2
-#: The better servers define the usual share: as many as can't be ejected.
+#: Share of the runs, the better ones, that define the usual share of bad answers: as
+#: many as can't be ejected.
 _BETTER_RUNS_SHARE = 2 / 3
-#: Corrects for leaving out the worse third, which lowers the share among equal servers.
+#: Factor on the share of bad answers among the better runs. Leaving out the worse third
+#: lowers that share also if all runs are equal.
 _TRIM_FACTOR = 1.5
-#: A server is doubtful at or below this probability of its bad answers. Slow answers
-#: come in clusters (two long requests block a server with two slots), so a doubtful
-#: server is observed further before it is ejected.
+#: A run is doubtful at or below this p-value: the probability of as many bad answers
+#: if it is like the others. Slow answers come in clusters (two long requests block a
+#: server with two slots), so a doubtful run is observed further before it is ejected.
 _MAX_DOUBTFUL_CHANCE = 1e-3
 #: A single observer or failure domain may itself be the cause.
 _MIN_OBSERVERS = 2
 _MIN_BAD_DOMAINS = 2
 _MIN_COMPARED_RUNS = 3
-#: Most of a service's capacity that may be ejected at a time, so that the other servers
-#: are not overloaded.
+#: Maximum share of a service's capacity that may be taken away at a time, from ejected,
+#: doubtful and recovering runs, so that the other runs are not overloaded.
 MAX_EJECTED_SHARE = 1 / 3
-#: Share of its work that a doubtful server keeps: enough to judge it within a second.
-#: Some good servers are doubtful at any time, and the others may lack free slots.
+#: Share of its work that a doubtful run keeps: enough to judge it within a second. Some
+#: good runs are doubtful at any time, and the others may lack free slots.
 _DOUBTFUL_WEIGHT = 0.5
-#: After a change of state, results of earlier requests are still reported for this
-#: long.
+#: Delay of answer reports: answers reported sooner than this after a change of state
+#: belong to requests sent before it. Answers reported later are fresh.
 _REPORTING_DELAY_S = 0.45
-#: Bad answers to requests sent since then that eject a doubtful server, if they are
-#: also at least this share of all; good answers that clear it, if they outnumber the
-#: bad ones.
+#: Minimum number and share of bad ones among the fresh answers that eject a doubtful
+#: run; both are needed.
 _MIN_FRESH_BAD = 3
 _MIN_FRESH_BAD_SHARE = 0.75
+#: Minimum number of good fresh answers that clear a doubtful run, if they outnumber the
+#: bad ones.
 _MIN_FRESH_GOOD = 2
-#: For this long a cleared run is judged by fresh answers only: until earlier answers
+#: Time for which a cleared run is judged by fresh answers only: until earlier answers
 #: have left the window.
 _CLEARED_PERIOD_S = 2.5
-#: Time after which a doubtful server with too few fresh answers is cleared.
+#: Time after which a doubtful run with too few fresh answers is cleared.
 _MAX_DOUBT_S = 2.0
-#: Consecutive good answers that end an ejection; a slow server may give one by chance.
+#: Consecutive good answers that end an ejection; a slow run may give one by chance.
 _MIN_GOOD_BEFORE_PROBATION = 2
-#: Share of its usual new work that an ejected server gets as trial requests, which show
+#: Share of its usual new work that an ejected run gets as trial requests, which show
 #: its recovery.
 TRIAL_WEIGHT = 0.1
 #: Answers within the window that make trials unnecessary: callers still send requests
 #: on open flows, and trials would queue behind those.
 _MIN_ANSWERS_WITHOUT_TRIALS = 6
 #: Covers requests that were in progress at the ejection, whose answers don't show the
-#: server's present state.
+#: run's present state.
 _MIN_EJECTION_S = 0.5
-#: Time without any answer after which an ejected server is tried again.
+#: Time without any answer after which an ejected run is tried again.
 _MAX_UNOBSERVED_S = 3.0
-#: A server on probation starts with this share of its work, which doubles after each
+#: A run on probation starts with this share of its work, which doubles after each
 #: period, so that few callers are affected if it is still slow.
 _PROBATION_INITIAL_WEIGHT = 0.25
 _PROBATION_DOUBLING_S = 0.6
-#: Bad answers that eject a server on probation, if they are at least half of all.
+#: Bad fresh answers that eject a run on probation, if they are at least half of the
+#: fresh ones.
 _MIN_PROBATION_BAD = 2
 
 
@@ -117,7 +124,7 @@
     """Return the share of bad answers that is usual for a service at present.
 
     Handles a service that is slow as a whole, or whose callers lose packets: all
-    servers have bad answers, and none is worse than the others.
+    runs have bad answers, and none is worse than the others.
 
     Parameters
     ----------
@@ -141,7 +148,7 @@
     return min(1.0, max(MIN_USUAL_SHARE, share))
 
 
-def chance_of_evidence(
+def evidence_p_value(
     evidence: Evidence, share: float, only_fresh: bool = False
 ) -> float:
     """Return the probability of a run's bad answers if it is like the others.
@@ -158,7 +165,9 @@
     Returns
     -------
     float
-        The lower probability of both windows; 1 with too few observers.
+        The lower probability of the recent and the whole window, or that of fresh
+        answers if `only_fresh`. 1 if bad answers were observed by too few instances, or
+        in one of several failure domains only.
     """
     if evidence.observers < _MIN_OBSERVERS:
         return 1.0
@@ -171,12 +180,12 @@
     return min(binomial_tail(window.bad, window.answers, share) for window in windows)
 
 
-def fresh_from_s(judged: Judgement) -> float:
+def fresh_from_s(judgement: Judgement) -> float:
     """Return the time from which reported answers show a run's present state.
 
     Parameters
     ----------
-    judged : Judgement
+    judgement : Judgement
         The latest judgement of the run.
 
     Returns
@@ -184,7 +193,7 @@
     float
         Answers reported after this time count as fresh.
     """
-    return judged.since_s + _REPORTING_DELAY_S
+    return judgement.since_s + _REPORTING_DELAY_S
 
 
 def judge_run(
@@ -192,10 +201,9 @@
 ) -> Judgement:
     """Return the new judgement of a run.
 
-    Handles a server that becomes slow suddenly and recovers seconds later, among others
-    that long requests block for a moment. A doubtful server loses part of its work;
-    answers to the rest clear or eject it. An ejected server gets trial requests and
-    returns to full work step by step.
+    Distinguishes a run that is slow for seconds from runs that a long request blocks
+    briefly. A doubtful run loses part of its work; answers to the rest clear or eject
+    it. An ejected run gets trial requests and returns to full work step by step.
 
     Parameters
     ----------
@@ -213,7 +221,7 @@
     Judgement
         The new judgement.
     """
-    chance = chance_of_evidence(evidence, share, _is_cleared(previous, now_s))
+    chance = evidence_p_value(evidence, share, _is_cleared(previous, now_s))
     quality = _next_quality(previous, evidence, chance, now_s)
     since_s = previous.since_s if quality is previous.quality else now_s
     weight = _weight_of(quality, now_s - since_s)
@@ -227,9 +235,12 @@
     return evidence.window.answers < _MIN_ANSWERS_WITHOUT_TRIALS
 
 
-def _is_cleared(judged: Judgement, now_s: float) -> bool:
-    """Return whether a run became good recently."""
-    return judged.quality is Quality.GOOD and now_s - judged.since_s < _CLEARED_PERIOD_S
+def _is_cleared(judgement: Judgement, now_s: float) -> bool:
+    """Return whether a run was cleared recently."""
+    return (
+        judgement.quality is Quality.GOOD
+        and now_s - judgement.since_s < _CLEARED_PERIOD_S
+    )
 
 
 def _next_quality(
@@ -328,7 +339,7 @@
         for label in domains
         if label in evidence or label in previous
     }
-    suspects = {
+    not_good = {
         label: judgement
         for label, judgement in judged.items()
         if judgement.quality is not Quality.GOOD
@@ -338,35 +349,37 @@
         for label, judgement in judged.items()
         if _is_cleared(judgement, now_s)
     }
-    return cleared | _limit_ejections(previous, suspects, domains)
+    return cleared | _limit_ejections(previous, not_good, domains)
 
 
 def _limit_ejections(
     previous: Mapping[int, Judgement],
-    suspects: Mapping[int, Judgement],
+    not_good: Mapping[int, Judgement],
     domains: Mapping[int, str],
 ) -> dict[int, Judgement]:
     """Return judgements with full weight where the service needs the run's capacity.
 
-    Runs with a low previous weight and an unlikely result are ejected first.
+    Capacity is taken away in order of previous weight, lowest first, then of
+    probability, lowest first.
     """
-    remaining_share = len(domains) * MAX_EJECTED_SHARE
+    # In units of one run's full capacity.
+    remaining_capacity = len(domains) * MAX_EJECTED_SHARE
     active_domains = list(domains.values())
     limited: dict[int, Judgement] = {}
 
     def removal_order(label: int) -> tuple[float, float, int]:
-        return previous.get(label, UNJUDGED).weight, suspects[label].chance, label
+        return previous.get(label, UNJUDGED).weight, not_good[label].chance, label
 
-    for label in sorted(suspects, key=removal_order):
-        judgement, domain = suspects[label], domains[label]
-        removed_share = 1.0 - judgement.weight
+    for label in sorted(not_good, key=removal_order):
+        judgement, domain = not_good[label], domains[label]
+        removed_capacity = 1.0 - judgement.weight
         is_last_in_domain = (
             judgement.quality is Quality.EJECTED and active_domains.count(domain) == 1
         )
-        if removed_share > remaining_share or is_last_in_domain:
+        if removed_capacity > remaining_capacity or is_last_in_domain:
             limited[label] = replace(judgement, weight=1.0)
             continue
-        remaining_share -= removed_share
+        remaining_capacity -= removed_capacity
         if judgement.quality is Quality.EJECTED:
             active_domains.remove(domain)
         limited[label] = judgement
--- a/src/agatethread/balancing/_quality_records.py
+++ b/src/agatethread/balancing/_quality_records.py
@@ -82,9 +82,10 @@
     good_since_bad : int
         Good answers since the last bad one.
     observers : int
-        Entry instances that observed a bad answer.
+        Entry instances that observed a bad answer; others are not counted.
     domains : int
-        Failure domains with enough answers to judge by.
+        Failure domains with enough answers to judge by: at least `_DOMAIN_ANSWERS` of
+        `agatethread.registry._answers`.
     bad_domains : int
         Failure domains that observed a bad answer.
     """
@@ -116,7 +117,7 @@
     last_answer_s : float
         When its last answer was observed.
     chance : float
-        Probability of its bad answers on a server like the others.
+        Probability of as many bad answers if the run is like the others (p-value).
     """
 
     quality: Quality = Quality.GOOD
--- a/src/agatethread/balancing/_records.py
+++ b/src/agatethread/balancing/_records.py
@@ -3,7 +3,8 @@
 from dataclasses import dataclass
 from math import inf
 
-#: Added to the urgency of openings that are queued behind those of all urgencies.
+#: Added to the urgency of deferred openings. Larger than any urgency that a routing
+#: document can set, so that they are queued behind those of all set urgencies.
 DEFERRED_RANK = 1_000
 
 
@@ -18,9 +19,9 @@
     requested_s : float
         When the caller first sent it, by the clock of the deciding instance.
     aim_s : float, optional
-        Time from there within which the caller wants its answer.
+        Time after `requested_s` within which the caller wants its answer.
     timeout_s : float, optional
-        Time from there after which the caller discards an answer.
+        Time after `requested_s` after which the caller discards an answer.
     caller : int, optional
         Identifies the caller for fair sharing.
     is_deferred : bool, optional
@@ -49,11 +50,12 @@
     free_count : int
         Free places.
     waiting_count : int
-        Openings that are queued for a place.
+        All openings that are queued for a place, for load reports; admission decisions
+        count only those ahead of an opening.
     place_count : int
         Places: openings and requests that the servers may have in progress together.
     place_time_s : float
-        Usual time for which an opening or request occupies a place.
+        Duration for which an opening or request usually occupies a place.
     """
 
     free_count: int
@@ -71,7 +73,7 @@
     wait_s : float or None
         Expected wait there; None if unknown, which is treated as no wait.
     crosses : bool, optional
-        Whether it is in another failure domain.
+        Whether a handover to it crosses into another failure domain.
     """
 
     wait_s: float | None
--- a/src/agatethread/datapath/_dispatching.py
+++ b/src/agatethread/datapath/_dispatching.py
@@ -12,12 +12,12 @@
 
 from agatethread.balancing import (
     AdmissionDecision,
-    CallerShares,
+    CallerCounts,
     GroupLoad,
     Opening,
     OpeningQueue,
-    apply_caller_share,
     decide_admission,
+    defer_if_over_share,
 )
 from agatethread.datapath._backend import Backend
 from agatethread.datapath._groups import ServerGroups
@@ -93,7 +93,7 @@
         self._policies = policies
         self._queues: dict[str, OpeningQueue[ReceivedOpening]] = {}
         #: By service, to limit each caller to its share.
-        self._shares: defaultdict[str, CallerShares] = defaultdict(CallerShares)
+        self._shares: defaultdict[str, CallerCounts] = defaultdict(CallerCounts)
         self._places = PlaceCounts(now_s)
         self._reporter = LoadReporter(self._load_of, actions.send, now_s)
         #: Time that callers of the placed openings had waited.
@@ -192,7 +192,7 @@
         shares, caller = self._shares[received.service], received.opening.caller
         exceeds_share = shares.exceeds_share(caller, self._now_s())
         waiting_count = len(self._queue_of(received.service))
-        ranked = apply_caller_share(received.opening, exceeds_share, waiting_count)
+        ranked = defer_if_over_share(received.opening, exceeds_share, waiting_count)
         return replace(received, opening=ranked)
 
     def _record_share(self, received: ReceivedOpening) -> None:
--- a/src/agatethread/datapath/_relaying.py
+++ b/src/agatethread/datapath/_relaying.py
@@ -248,7 +248,7 @@
         """Return whether so many slots are in use that openings are relayed."""
         self._uncount_outdated(now_s)
         in_flight_count = sum(run.in_flight for run in self._runs_of(service))
-        is_pressed = self._gauge.is_high(
+        is_pressed = self._gauge.record_opening(
             service,
             in_flight_count + self._unplaced_counts.get(service, 0),
             self._groups.entry_count,
--- a/tests/balancing/test_admission.py
+++ b/tests/balancing/test_admission.py
@@ -39,8 +39,10 @@
 
 class TestDecideAdmission(unittest.TestCase):
     @given(OPENINGS, LOADS, AHEAD_COUNTS, ALTERNATIVES)
-    def test_places_opening_while_slot_is_free(self, opening, load, ahead, alternative):
-        """An opening is placed exactly if more slots are free than openings ahead."""
+    def test_places_exactly_if_more_places_are_free_than_openings_ahead(
+        self, opening, load, ahead, alternative
+    ):
+        """An opening is placed exactly if more places are free than openings ahead."""
         decision = decide_admission(opening, load, ahead, NOW_S, alternative)
         self.assertEqual(decision is AdmissionDecision.PLACE, load.free_count > ahead)
 
--- a/tests/balancing/test_dispatchers.py
+++ b/tests/balancing/test_dispatchers.py
@@ -69,7 +69,10 @@
         self.assertEqual(assign_servers([1, 2], []), {})
 
     def count_reassigned(self, modify):
-        """Return mean and maximum of the remaining servers that are reassigned."""
+        """Modify servers or dispatchers; return how many servers changed dispatcher.
+
+        Mean and maximum over the seeds; counts servers of both assignments only.
+        """
         counts = []
         for seed in range(60):
             draw = random.Random(seed)
--- a/tests/balancing/test_fair_queue.py
+++ b/tests/balancing/test_fair_queue.py
@@ -14,36 +14,36 @@
     def __init__(self):
         self.queues = {}
 
-    def push(self, owner, number, due_s):
-        self.queues.setdefault(owner, []).append((due_s, number))
+    def push(self, partner, number, due_s):
+        self.queues.setdefault(partner, []).append((due_s, number))
 
-    def remove(self, owner, entry):
-        self.queues[owner].remove(entry)
-        if not self.queues[owner]:
-            del self.queues[owner]
+    def remove(self, partner, entry):
+        self.queues[partner].remove(entry)
+        if not self.queues[partner]:
+            del self.queues[partner]
 
     def pop(self):
-        owner = next(iter(self.queues))
-        first = min(self.queues[owner])
-        queue = self.queues.pop(owner)
+        partner = next(iter(self.queues))
+        first = min(self.queues[partner])
+        queue = self.queues.pop(partner)
         queue.remove(first)
         if queue:
-            self.queues[owner] = queue
+            self.queues[partner] = queue
         return first
 
 
 def fill(items):
     fair_queue, reference = FairQueue(), ReferenceQueue()
-    for number, (owner, due_s) in enumerate(items):
-        fair_queue.push(owner, number, due_s)
-        reference.push(owner, number, due_s)
+    for number, (partner, due_s) in enumerate(items):
+        fair_queue.push(partner, number, due_s)
+        reference.push(partner, number, due_s)
     return fair_queue, reference
 
 
 class TestFairQueue(unittest.TestCase):
     @given(ITEMS, st.lists(st.integers(0, 39)), st.integers(0, 10))
     def test_order_matches_reference(self, items, removed, popped):
-        """Owners take turns and items leave by due time, also after removals."""
+        """Partners take turns and items leave by due time, also after removals."""
         fair_queue, reference = fill(items)
         for _ in range(min(popped, len(items))):
             self.assertEqual(fair_queue.pop(), reference.pop()[1])
@@ -59,11 +59,11 @@
         )
 
     @given(ITEMS, st.sampled_from("abcde"), st.integers(0, 9))
-    def test_count_ahead_bounds_items_served_first(self, items, owner, due_s):
-        """The count is an upper bound that exceeds by at most one item per owner."""
+    def test_count_ahead_bounds_items_served_first(self, items, partner, due_s):
+        """The count is an upper bound that exceeds by at most one item per partner."""
         fair_queue, _ = fill(items)
-        max_ahead = fair_queue.count_ahead(owner, due_s)
-        fair_queue.push(owner, "new", due_s)
+        max_ahead = fair_queue.count_ahead(partner, due_s)
+        fair_queue.push(partner, "new", due_s)
         served_first = 0
         while fair_queue.pop() != "new":
             served_first += 1
@@ -93,16 +93,18 @@
             first_s += turn_s
 
     @given(ITEMS, st.sampled_from("abcde"))
-    def test_evicts_last_item_of_longest_queue(self, items, owner):
-        """The longest queue loses its last due item, unless the owner's is as long."""
+    def test_evicts_last_item_of_longest_queue(self, items, partner):
+        """The longest queue loses its last due item if it is longer by two or more."""
         fair_queue, reference = fill(items)
         counts = {name: len(queue) for name, queue in reference.queues.items()}
-        own = counts.get(owner, 0)
-        number = fair_queue.evict_last_of_longest(owner)
+        own = counts.get(partner, 0)
+        number = fair_queue.evict_last_of_longest(partner)
         if number is None:
             self.assertLess(max(counts.values(), default=0), own + 2)
             return
-        loser = items[number][0]
-        self.assertEqual(counts[loser], max(counts.values()))
-        self.assertGreater(counts[loser], own + 1)
-        self.assertEqual((items[number][1], number), max(reference.queues[loser]))
+        evicted_partner = items[number][0]
+        self.assertEqual(counts[evicted_partner], max(counts.values()))
+        self.assertGreater(counts[evicted_partner], own + 1)
+        self.assertEqual(
+            (items[number][1], number), max(reference.queues[evicted_partner])
+        )
--- a/tests/balancing/test_fairness.py
+++ b/tests/balancing/test_fairness.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 
 from agatethread.balancing import (
-    CallerShares,
+    CallerCounts,
     Opening,
     OpeningQueue,
-    apply_caller_share,
+    defer_if_over_share,
 )
 from agatethread.balancing._fairness import (
     _MIN_OVERUSE_COUNT,
@@ -53,7 +53,7 @@
 
 def record_openings(openings, limit_count):
     """Record openings; yield the shares, all openings so far and the time."""
-    shares, recorded, now_s = CallerShares(limit_count), [], 7.3
+    shares, recorded, now_s = CallerCounts(limit_count), [], 7.3
     for caller, pause_s in openings:
         now_s += pause_s
         shares.record(caller, now_s)
@@ -83,8 +83,8 @@
             )
 
     @given(OPENINGS, st.integers(1, 12))
-    def test_caller_within_share_is_never_reported(self, openings, limit_count):
-        """With too few rows no caller within its share is reported as exceeding it."""
+    def test_caller_within_share_never_exceeds_it(self, openings, limit_count):
+        """With too few rows `exceeds_share` is still False for callers within it."""
         for shares, recorded, now_s in record_openings(openings, limit_count):
             exact = ExactCounts(recorded, now_s)
             for caller in set(exact.callers):
@@ -93,7 +93,7 @@
 
     def test_callers_that_lost_their_rows_count_once(self):
         """Callers that lost their row in the previous window are not counted as new."""
-        shares, recorded = CallerShares(12), []
+        shares, recorded = CallerCounts(12), []
         first = [*range(1, 13), 13] * 3
         for caller, opened_s in [(caller_id, 0.1) for caller_id in first] + [
             (caller_id, 0.6) for caller_id in [*range(1, 12)] * 3 + [0] * 20
@@ -107,7 +107,7 @@
 class TestExceedsShare(unittest.TestCase):
     def simulate(self, rates, seconds, seed=1):
         """Simulate Poisson arrivals; return the time each caller first exceeded."""
-        draw, shares, exceeded_since_s = random.Random(seed), CallerShares(), {}
+        draw, shares, exceeded_since_s = random.Random(seed), CallerCounts(), {}
         callers, total, now_s = list(rates), sum(rates.values()), 0.0
         while now_s < seconds:
             now_s += draw.expovariate(total)
@@ -127,8 +127,8 @@
                     )
                     self.assertEqual(exceeded_since_s, {})
 
-    def test_heavy_caller_is_found_within_a_second(self):
-        """Only a caller that opens twenty times as much as the others is reported."""
+    def test_heavy_caller_exceeds_share_within_a_second(self):
+        """Only a caller that opens twenty times as much as the others exceeds it."""
         for count, per_s in ((2, 30), (40, 18), (300, 3), (2_000, 1.5)):
             for seed in range(3):
                 rates = dict.fromkeys(range(count), per_s) | {-1: 20 * per_s}
@@ -139,29 +139,29 @@
 
     def test_caller_is_within_share_a_second_after_it_stopped(self):
         """Openings no longer count once both windows have passed."""
-        shares = CallerShares()
+        shares = CallerCounts()
         for index in range(100):
             shares.record(index % 10 if index < 50 else 99, 0.4)
         self.assertTrue(shares.exceeds_share(99, 0.9))
         self.assertFalse(shares.exceeds_share(99, 1.4))
 
 
-class TestApplyCallerShare(unittest.TestCase):
+class TestDeferIfOverShare(unittest.TestCase):
     @given(st.integers(0, 255), st.integers(0, 255), st.integers(1, 9))
     def test_ranks_last_only_while_others_wait(self, own, other, waiting):
         """The opening ranks below the least urgent; unchanged if no other waits."""
         opening = Opening(own, 0.0)
-        demoted = apply_caller_share(opening, True, waiting)
+        demoted = defer_if_over_share(opening, True, waiting)
         self.assertGreater(demoted.rank, Opening(other, 0.0).rank)
         self.assertEqual(demoted.urgency, own)
-        self.assertEqual(apply_caller_share(opening, True, 0), opening)
-        self.assertEqual(apply_caller_share(opening, False, waiting), opening)
+        self.assertEqual(defer_if_over_share(opening, True, 0), opening)
+        self.assertEqual(defer_if_over_share(opening, False, waiting), opening)
 
-    def test_reserved_placements_exclude_callers_over_their_share(self):
-        """All other openings are placed first, whatever their time and urgency."""
+    def test_deferred_openings_get_no_reserved_places(self):
+        """Openings of callers over their share are placed after all others."""
         queue = OpeningQueue()
         for index in range(60):
             opening = Opening(index % 3, 0.01 * index, aim_s=0.4)
-            queue.push(apply_caller_share(opening, index < 20, 1), index, index, 0.6)
+            queue.push(defer_if_over_share(opening, index < 20, 1), index, index, 0.6)
         order = [queue.pop(0.6) for _ in range(60)]
         self.assertEqual(set(order[:40]), set(range(20, 60)))
--- a/tests/balancing/test_opening_queue.py
+++ b/tests/balancing/test_opening_queue.py
@@ -20,7 +20,7 @@
         self.queue = OpeningQueue(LIMIT)
         self.waiting = {}
 
-    def rank(self, key):
+    def order_key(self, key):
         """Return the sort key within an urgency; ties are in order of arrival."""
         opening, number = self.waiting[key]
         due_s = opening.requested_s + opening.aim_s
@@ -37,7 +37,7 @@
             and self.now_s
             <= opening.requested_s + min(MAX_PLACEMENT_DELAY_S, opening.timeout_s)
         ]
-        return sorted(keys, key=self.rank)
+        return sorted(keys, key=self.order_key)
 
     @rule(
         urgency=st.integers(0, 2),
@@ -128,7 +128,7 @@
         self.assertLess(entry_count, 3 * len(queue) + 200)
 
     def test_urgent_openings_do_not_starve_others(self):
-        """One of eight slots goes to a less urgent opening."""
+        """One of eight places goes to a less urgent opening."""
         queue = OpeningQueue()
         for number in range(40):
             queue.push(Opening(number % 2, number / 1_000), number, number, 0.1)
--- a/tests/balancing/test_pressure.py
+++ b/tests/balancing/test_pressure.py
@@ -27,7 +27,7 @@
             self.flow_ends_s = [
                 time_s for time_s in self.flow_ends_s if time_s > opened_s
             ]
-            is_high = self.gauge.is_high(
+            is_high = self.gauge.record_opening(
                 "tab", len(self.flow_ends_s), ENTRIES, SLOTS, opened_s
             )
             if is_high != self.is_high:
@@ -76,5 +76,5 @@
     def test_no_pressure_without_slots(self):
         """A service without slots is not under pressure."""
         gauge = PressureGauge()
-        gauge.is_high("tab", 100, ENTRIES, SLOTS, 0.0)
-        self.assertFalse(gauge.is_high("tab", 100, ENTRIES, 0, 0.1))
+        gauge.record_opening("tab", 100, ENTRIES, SLOTS, 0.0)
+        self.assertFalse(gauge.record_opening("tab", 100, ENTRIES, 0, 0.1))
--- a/tests/balancing/test_quality.py
+++ b/tests/balancing/test_quality.py
@@ -24,16 +24,16 @@
 GOOD, DOUBTFUL = Quality.GOOD, Quality.DOUBTFUL
 EJECTED, ON_PROBATION = Quality.EJECTED, Quality.ON_PROBATION
 
-counts = st.builds(
+COUNTS = st.builds(
     lambda good, slow, failed: AnswerCounts(good + slow + failed, slow, failed),
     st.integers(0, 40),
     st.integers(0, 40),
     st.integers(0, 9),
 )
-evidences = st.builds(
-    Evidence, counts, counts, counts, *[st.integers(0, 9)] * 2, *[st.integers(0, 3)] * 2
+EVIDENCES = st.builds(
+    Evidence, COUNTS, COUNTS, COUNTS, *[st.integers(0, 9)] * 2, *[st.integers(0, 3)] * 2
 )
-judgements = st.builds(
+JUDGEMENTS = st.builds(
     Judgement, st.sampled_from(Quality), st.floats(0, 1), *[st.floats(90, 100)] * 2
 )
 
@@ -142,8 +142,8 @@
         self.assertAlmostEqual(weights[5], 0.5)
         self.assertIs(judged.quality, GOOD)
 
-    def test_ejected_run_gets_trials_only_without_other_answers(self):
-        """An ejected run with enough answers on open flows gets no trial requests."""
+    def test_ejected_run_gets_trials_only_with_few_answers(self):
+        """An ejected run with six answers on open flows gets no trial requests."""
         ejected = make_judgement(EJECTED, 0.0)
         self.assertEqual(self.judge(ejected, make_evidence(5, 5)).weight, TRIAL_WEIGHT)
         self.assertEqual(self.judge(ejected, NO_EVIDENCE).weight, TRIAL_WEIGHT)
@@ -161,7 +161,7 @@
         judged = self.judge(ejected, NO_EVIDENCE, now_s=103.1)
         self.assertIs(judged.quality, ON_PROBATION)
 
-    @given(judgements, evidences, st.floats(0.1, 1))
+    @given(JUDGEMENTS, EVIDENCES, st.floats(0.1, 1))
     def test_weights_and_chances_are_bounded(self, before, evidence, share):
         """Weights and probabilities are 0 to 1, and a good run has full weight."""
         judged = self.judge(before, evidence, share)
@@ -171,7 +171,7 @@
         if judged.quality is GOOD:
             self.assertEqual(judged.weight, 1.0)
 
-    @given(counts, counts, st.floats(0.1, 0.9))
+    @given(COUNTS, COUNTS, st.floats(0.1, 0.9))
     def test_chance_falls_with_bad_answers(self, counted, additional, share):
         """With the same number of answers the probability falls with each bad one."""
         increased_bad = min(counted.answers, counted.bad + additional.bad)
@@ -204,7 +204,7 @@
     @given(
         st.dictionaries(
             st.integers(1, 30),
-            st.tuples(st.sampled_from("abc"), judgements, evidences),
+            st.tuples(st.sampled_from("abc"), JUDGEMENTS, EVIDENCES),
             max_size=30,
         )
     )
--- a/tests/balancing/test_retry_schedule.py
+++ b/tests/balancing/test_retry_schedule.py
@@ -65,8 +65,8 @@
                 )
                 self.assertAlmostEqual(retry_count, 200, delta=20)
 
-    def test_owner_with_many_callers_does_not_delay_another(self):
-        """The first few callers of another owner are reserved in turn with the many."""
+    def test_partner_with_many_callers_does_not_delay_another(self):
+        """A partner's callers get times between those of one with many callers."""
         schedule = RetrySchedule()
         for _ in range(2_000):
             schedule.reserve("big", 0.5, 0.005, 0.0)
@@ -77,20 +77,20 @@
         st.lists(st.tuples(st.sampled_from("abc"), st.floats(0, 0.5)), min_size=1),
         st.sampled_from((0.1, 0.4, 2.0)),
     )
-    def test_turns_delay_no_caller_beyond_a_single_line(self, refusals, turn_s):
-        """With owners taking turns no time is later than in a single line for all."""
+    def test_turns_delay_no_caller_beyond_a_single_partner(self, refusals, turn_s):
+        """With partners taking turns no time is later than with one partner for all."""
         schedule, single_line, now_s = RetrySchedule(), RetrySchedule(), 0.0
-        for owner, pause_s in refusals:
+        for partner, pause_s in refusals:
             now_s += pause_s
-            retry_after_s = schedule.reserve(owner, 0.5, turn_s, now_s)
+            retry_after_s = schedule.reserve(partner, 0.5, turn_s, now_s)
             self.assertLessEqual(
                 retry_after_s, single_line.reserve("", 0.5, turn_s, now_s) + 1e-9
             )
             self.assertGreaterEqual(retry_after_s, 0.5)
             self.assertLessEqual(len(schedule), 3)
 
-    def test_past_owners_are_removed(self):
-        """Owners are removed once their reserved times have passed."""
+    def test_past_partners_are_removed(self):
+        """Partners are removed once their reserved times have passed."""
         schedule = RetrySchedule()
         for index in range(1_000):
             schedule.reserve(f"name-{index}", 0.0, 0.001, index / 10)
@@ -99,15 +99,15 @@
     def test_overbooking_is_bounded(self):
         """No second is reserved for more than 1.5 times what can be served."""
         draw = random.Random(1)
-        owner_orders = {
+        partner_orders = {
             "mixed": [draw.randrange(50) for _ in range(1_000)],
             "one after the other": [index // 20 for index in range(1_000)],
-            "one owner first": [0] * 500 + [draw.randrange(50) for _ in range(500)],
+            "one partner first": [0] * 500 + [draw.randrange(50) for _ in range(500)],
         }
-        for name, owners in owner_orders.items():
+        for name, partners in partner_orders.items():
             schedule = RetrySchedule()
             retry_times_s = [
-                schedule.reserve(str(owner), 0.0, 0.005, 0.0) for owner in owners
+                schedule.reserve(str(partner), 0.0, 0.005, 0.0) for partner in partners
             ]
             retry_count = Counter(int(time_s) for time_s in retry_times_s)
             with self.subTest(name):
--- a/tests/datapath/test_fair_placing.py
+++ b/tests/datapath/test_fair_placing.py
@@ -1,7 +1,7 @@
 import unittest
 from unittest import mock
 
-from agatethread.balancing import CallerShares
+from agatethread.balancing import CallerCounts
 from tests.datapath.pressure_simulation import OTHER, URGENT, PressureSimulation
 
 GREEDY = 1_000
@@ -48,7 +48,7 @@
 
     def test_limits_greedy_caller_only(self):
         """Other callers are served in time with the shares, and not without them."""
-        with mock.patch.object(CallerShares, "exceeds_share", lambda *_: False):
+        with mock.patch.object(CallerCounts, "exceeds_share", lambda *_: False):
             unlimited = self.simulate()
         simulation = self.simulate()
         self.assertLess(unlimited.served_ratio_of(self.ORDINARY), 0.95)
--- a/tests/datapath/test_relaying.py
+++ b/tests/datapath/test_relaying.py
@@ -123,4 +123,4 @@
         self.clock.value_s += 0.5
         with mock.patch.object(self.relay, "_gauge") as gauge:
             OpeningRelay._is_under_pressure(self.relay, "tab", self.clock())
-        self.assertEqual(gauge.is_high.call_args.args[1], 0)
+        self.assertEqual(gauge.record_opening.call_args.args[1], 0)
