--- a/src/agatethread/datapath/_forwarder.py
+++ b/src/agatethread/datapath/_forwarder.py
@@ -35,7 +35,7 @@
     OpenFlowOutcome,
     Route,
     RouteTable,
-    judge_open_flow,
+    decide_open_flow,
 )
 from agatethread.settings import DEFAULT_POLICIES, Policies
 from agatethread.wire.registry_pb2 import Sighting
@@ -255,7 +255,7 @@
 
     def _on_packet(self, packet: Packet) -> None:
         backend = self._view.find(packet.label)
-        outcome = judge_open_flow(
+        outcome = decide_open_flow(
             is_known=backend is not None,
             is_allowed=backend is not None and self._is_allowed(packet, backend),
             has_ended=backend is not None and backend.ended,
--- a/src/agatethread/entry/_forwarding.py
+++ b/src/agatethread/entry/_forwarding.py
@@ -4,7 +4,7 @@
 
 from agatethread.exceptions import SealError
 from agatethread.observability import Counters
-from agatethread.routing import EndpointTable, OpenFlowOutcome, judge_open_flow
+from agatethread.routing import EndpointTable, OpenFlowOutcome, decide_open_flow
 from agatethread.wire import (
     Cookie,
     Envelope,
@@ -103,7 +103,7 @@
 
     def _find_route(self, envelope: Envelope, caller: Address) -> Route | None:
         cookie = parse_cookie(self._sealer, envelope.cookie)
-        outcome = judge_open_flow(
+        outcome = decide_open_flow(
             # The cookie is sealed, so it is proof that the run existed.
             is_known=True,
             is_allowed=cookie.service == service_hash(envelope.service),
--- a/src/agatethread/entry/_placement.py
+++ b/src/agatethread/entry/_placement.py
@@ -233,7 +233,7 @@
             The backend server.
         """
         service = service_hash(endpoint.service)
-        for key, caller in self._flows.remove_endpoint(endpoint):
+        for key, caller in self._flows.remove_flows_of(endpoint):
             self._pending.pop(key, None)
             reset = Envelope(
                 kind=Kind.RESET,
--- a/src/agatethread/routing/__init__.py
+++ b/src/agatethread/routing/__init__.py
@@ -3,7 +3,7 @@
 from agatethread.routing._choice import choose_for_request, choose_for_stream
 from agatethread.routing._endpoints import AnnouncementResult, Endpoint, EndpointTable
 from agatethread.routing._flows import FlowTable
-from agatethread.routing._open_flows import OpenFlowOutcome, judge_open_flow
+from agatethread.routing._open_flows import OpenFlowOutcome, decide_open_flow
 from agatethread.routing._table import (
     LOWEST_URGENCY,
     NO_ROUTES,
@@ -40,6 +40,6 @@
     "choose_for_stream",
     "decode_table",
     "encode_table",
-    "judge_open_flow",
+    "decide_open_flow",
     "add_earlier_services",
 ]
--- a/src/agatethread/routing/_choice.py
+++ b/src/agatethread/routing/_choice.py
@@ -1,8 +1,9 @@
-"""Selection of a backend server by own load counts and recent failures."""
+"""Selection of a backend server by this instance's load counts and recent failures."""
 
 from agatethread.routing._endpoints import Endpoint
 
-_MIN_RAMP_SHARE = 0.1
+#: Share of its weight with which a new backend server starts (slow start).
+_INITIAL_RAMP_SHARE = 0.1
 
 
 def _ramp_share(endpoint: Endpoint, now_s: float, ramp_s: float) -> float:
@@ -11,7 +12,7 @@
     elapsed_share = (now_s - endpoint.ramp_from_s) / ramp_s
     if elapsed_share >= 1.0:
         return 1.0
-    return max(_MIN_RAMP_SHARE, elapsed_share)
+    return max(_INITIAL_RAMP_SHARE, elapsed_share)
 
 
 def _is_usable(endpoint: Endpoint, now_s: float) -> bool:
@@ -25,7 +26,7 @@
 def choose_for_stream(
     endpoints: list[Endpoint], now_s: float, ramp_s: float
 ) -> Endpoint | None:
-    """Return the backend server with the fewest open streams for its weight.
+    """Return the backend server with the fewest open flows for its weight.
 
     Parameters
     ----------
--- a/src/agatethread/routing/_endpoints.py
+++ b/src/agatethread/routing/_endpoints.py
@@ -1,4 +1,4 @@
-"""Table of announced backend servers by address, with own load counts of each."""
+"""Table of announced backend servers by address, with this instance's load counts."""
 
 import enum
 import math
@@ -6,11 +6,13 @@
 
 from agatethread.wire import Announcement
 
-_INITIAL_PENALTY_S = 0.1
-_MAX_PENALTY_S = 5.0
+#: Bounds of the backoff after failures, which doubles with each consecutive failure.
+_INITIAL_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 5.0
 #: How long requests inherited from an earlier dispatcher are counted.
 _INHERITED_LIFETIME_S = 30.0
-#: A service with a backend server known for longer than this counts as established.
+#: A service with a backend server first announced longer ago than this counts as
+#: established.
 _ESTABLISHED_S = 10.0
 
 
@@ -23,7 +25,9 @@
 
 
 class Endpoint:
-    """One run of a backend server at one address.
+    """One run of a backend server at one address, from its start to its end.
+
+    Other descriptions say "backend server" for it.
 
     Parameters
     ----------
@@ -68,7 +72,9 @@
         self.first_announced_s = now_s
         self.ramp_from_s = now_s
         self.lease_until_s = now_s + announcement.lease_ms / 1000
+        #: Whether it has left, its lease has expired or another run replaced it.
         self.gone = False
+        #: Whether the operator has drained it or evacuated its failure domain.
         self.drained = False
         #: Whether its failure domain is unreachable from here.
         self.is_unreachable = False
@@ -78,6 +84,7 @@
         self.inherited_streams = announcement.open_streams
         self.inherited_in_flight = announcement.in_flight
         self.inherited_until_s = now_s + _INHERITED_LIFETIME_S
+        #: Consecutive failures, and the end of the backoff after the latest one.
         self.failures = 0
         self.penalty_until_s = 0.0
         self.last_used_s = 0.0
@@ -87,16 +94,20 @@
         self.announcement = announcement
         self.slots = announcement.slots
         self.connection_limit = announcement.connection_limit
+        # Whether it has announced that it drains or leaves.
         self.closing = announcement.draining or announcement.leaving
 
     @property
     def takes_new_work(self) -> bool:
-        """Whether it may receive new flows and requests."""
+        """Whether it may receive new flows and requests.
+
+        Selections also leave out those in backoff, without weight or past their lease.
+        """
         return not (self.gone or self.drained or self.closing or self.is_unreachable)
 
     @property
     def stream_load(self) -> int:
-        """Open streams, including those that an earlier dispatcher placed."""
+        """Open flows, including those that an earlier dispatcher placed."""
         return self.streams + self.inherited_streams
 
     @property
@@ -138,8 +149,8 @@
         return has_changed
 
     def _lower_inherited(self, announcement: Announcement, now_s: float) -> None:
-        # Reports may be late or wrong, so they may lower inherited counts only, and
-        # never change own counts.
+        # Reports may be late or wrong, so they only lower inherited counts; this
+        # instance's own counts never change.
         if now_s >= self.inherited_until_s:
             self.inherited_in_flight = 0
         reported_streams = max(0, announcement.open_streams - self.streams)
@@ -148,7 +159,9 @@
         self.inherited_in_flight = min(self.inherited_in_flight, reported_in_flight)
 
     def inherit_reported_load(self, now_s: float) -> None:
-        """Set inherited counts from its report, on becoming its dispatcher.
+        """Set inherited counts from its report.
+
+        Call this when this instance becomes the dispatcher of its service.
 
         Parameters
         ----------
@@ -172,11 +185,11 @@
         self.lease_until_s = max(self.lease_until_s, lease_until_s)
 
     def record_success(self) -> None:
-        """Reset its consecutive failures after successful work."""
+        """Reset its consecutive failures after an answer."""
         self.failures = 0
 
     def record_failure(self, now_s: float, retry_after_s: float = 0.0) -> None:
-        """Record a failure and avoid it for an exponential backoff.
+        """Record a failure and start the exponential backoff of the backend server.
 
         Parameters
         ----------
@@ -186,9 +199,9 @@
             Backoff that it requested.
         """
         self.failures += 1
-        backoff_s = _INITIAL_PENALTY_S * 2 ** min(self.failures - 1, 10)
-        pause_s = min(max(backoff_s, retry_after_s), _MAX_PENALTY_S)
-        self.penalty_until_s = now_s + pause_s
+        exponential_s = _INITIAL_BACKOFF_S * 2 ** min(self.failures - 1, 10)
+        backoff_s = min(max(exponential_s, retry_after_s), _MAX_BACKOFF_S)
+        self.penalty_until_s = now_s + backoff_s
 
 
 class EndpointTable:
@@ -234,7 +247,7 @@
         return AnnouncementResult.CHANGED, current
 
     def _is_established(self, service: str, now_s: float) -> bool:
-        # A ramp is relative to established backend servers; without any there is none.
+        # Without established backend servers a new one starts at full weight.
         return any(
             not other.gone and now_s - other.first_announced_s > _ESTABLISHED_S
             for other in self._by_service.get(service, {}).values()
@@ -316,8 +329,8 @@
         now_s : float
             Current time.
         retention_s : float
-            Time after the lease's end for which a record is kept, so that callers can
-            still be notified.
+            Time for which a record is kept after the end of the lease, so that callers
+            can still be notified. A backend server may leave before its lease ends.
         """
         for endpoint in list(self.by_address.values()):
             if endpoint.gone and endpoint.lease_until_s + retention_s < now_s:
--- a/src/agatethread/routing/_flows.py
+++ b/src/agatethread/routing/_flows.py
@@ -7,11 +7,11 @@
 
 
 class _Placement:
-    __slots__ = ("caller", "endpoint", "is_confirmed")
+    __slots__ = ("caller_address", "endpoint", "is_confirmed")
 
-    def __init__(self, endpoint: Endpoint, caller: bytes):
+    def __init__(self, endpoint: Endpoint, caller_address: bytes):
         self.endpoint = endpoint
-        self.caller = caller
+        self.caller_address = caller_address
         self.is_confirmed = False
 
 
@@ -52,7 +52,7 @@
         placement = self._placements.get(flow_id)
         return placement.endpoint if placement else None
 
-    def place(self, flow_id: int, endpoint: Endpoint, caller: bytes) -> None:
+    def place(self, flow_id: int, endpoint: Endpoint, caller_address: bytes) -> None:
         """Add a new placement and count it.
 
         Parameters
@@ -61,10 +61,10 @@
             The flow.
         endpoint : Endpoint
             The backend server that it is placed on.
-        caller : bytes
-            Packed address to notify if the backend server fails.
+        caller_address : bytes
+            Packed address of the caller, to notify it if the backend server fails.
         """
-        self._placements[flow_id] = _Placement(endpoint, caller)
+        self._placements[flow_id] = _Placement(endpoint, caller_address)
         endpoint.streams += 1
 
     def confirm(self, flow_id: int) -> bool:
@@ -119,7 +119,7 @@
         if endpoint is not None and endpoint.inherited_streams > 0:
             endpoint.inherited_streams -= 1
 
-    def remove_endpoint(self, endpoint: Endpoint) -> list[tuple[int, bytes]]:
+    def remove_flows_of(self, endpoint: Endpoint) -> list[tuple[int, bytes]]:
         """Remove every flow of a failed backend server.
 
         Parameters
@@ -130,10 +130,10 @@
         Returns
         -------
         list of (int, bytes)
-            The flows and their callers.
+            The flows and the addresses of their callers.
         """
         ended = [
-            (flow_id, placement.caller)
+            (flow_id, placement.caller_address)
             for flow_id, placement in self._placements.items()
             if placement.endpoint is endpoint
         ]
--- a/src/agatethread/routing/_open_flows.py
+++ b/src/agatethread/routing/_open_flows.py
@@ -28,7 +28,7 @@
     DROP_OTHER_SERVICE = "other_service"
 
 
-def judge_open_flow(
+def decide_open_flow(
     is_known: bool, is_allowed: bool, has_ended: bool
 ) -> OpenFlowOutcome:
     """Return the outcome for a packet of an open flow.
@@ -36,8 +36,8 @@
     Parameters
     ----------
     is_known : bool
-        Whether the packet identifies a known run, or proves by itself that the run
-        existed.
+        Whether the run is verified: its label is known here, or the packet's sealed
+        cookie proves that it existed.
     is_allowed : bool
         Whether the packet's destination belongs to the run's service, or did when the
         flow was opened.
--- a/src/agatethread/routing/_table.py
+++ b/src/agatethread/routing/_table.py
@@ -17,11 +17,12 @@
     TableRoute,
 )
 
-#: Urgency of routes whose document sets none: below all that can be set.
+#: Urgency of routes whose document sets none: less urgent than any that can be set.
 URGENCY_NOT_SET = 1_000
-#: Largest value of a 32-bit field of a registry message.
+#: Longest timeout that fits into a 32-bit field; longer ones are reduced to it.
 _MAX_TIMEOUT_MS = (1 << 32) - 1
-#: Highest number that a document may set; 0 is the most urgent.
+#: Largest urgency number, so the least urgent, that a document may set; 0 is the most
+#: urgent. `check_document` does not check it.
 LOWEST_URGENCY = URGENCY_NOT_SET - 1
 
 
@@ -40,7 +41,7 @@
     Attributes
     ----------
     name : str
-        Name in messages.
+        Name in error messages.
     host : int
         IPv4 address that callers send to, as a number.
     port : int
@@ -50,7 +51,7 @@
     timeout_ms : int
         Longest time that a request may take.
     idempotent : bool
-        Whether callers may always retry its requests.
+        Whether callers may retry a request also if it may have run.
     urgency : int, optional
         0 is the most urgent; less urgent openings wait for more urgent ones.
     aim_ms : int, optional
@@ -69,7 +70,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdLimit:
-    """Rate limit of a service's backend servers while they are cold."""
+    """Rate limit of new work for a service's cold backend servers.
+
+    A backend server is cold while it warms up after its start.
+    """
 
     service: str
     rate_per_s: float
@@ -122,24 +126,24 @@
         yield FieldError(source, "services", document.services, "distinct names")
     route_by_address: dict[tuple[int, int], str] = {}
     for rule in document.rules:
-        field = f"routes[{rule.name}]"
+        path = f"routes[{rule.name}]"
         conflicting_route = route_by_address.get((rule.host, rule.port))
         if conflicting_route is not None:
             yield RouteConflictError(
-                source, field, conflicting_route, "an address and port of its own"
+                source, path, conflicting_route, "an address and port of its own"
             )
         route_by_address[rule.host, rule.port] = rule.name
         if rule.timeout_ms <= 0:
             expected = "more than 0 (milliseconds)"
-            yield FieldError(source, f"{field}.timeout_ms", rule.timeout_ms, expected)
+            yield FieldError(source, f"{path}.timeout_ms", rule.timeout_ms, expected)
         if sum(target.weight for target in rule.targets) <= 0:
             yield FieldError(
-                source, f"{field}.targets", rule.targets, "a total weight above 0"
+                source, f"{path}.targets", rule.targets, "a total weight above 0"
             )
         for target in rule.targets:
             if target.service not in services:
                 expected = "a service of this document"
-                yield UnknownServiceError(source, field, target.service, expected)
+                yield UnknownServiceError(source, path, target.service, expected)
 
 
 def encode_table(document: RoutingDocument) -> RoutingTable:
@@ -180,7 +184,7 @@
     return table
 
 
-def add_earlier_services(table: RoutingTable, before: RoutingTable) -> None:
+def add_earlier_services(table: RoutingTable, previous: RoutingTable) -> None:
     """Add to a table's routes the services that they had in earlier versions.
 
     Entry instances that start later need them to forward open flows.
@@ -189,30 +193,30 @@
     ----------
     table : RoutingTable
         The new table, which is modified.
-    before : RoutingTable
+    previous : RoutingTable
         The table that it replaces.
     """
     service_index = {service: index for index, service in enumerate(table.services)}
-    old_routes = {(route.host, route.port): route for route in before.routes}
-    same_services = table.services == before.services
+    previous_routes = {(route.host, route.port): route for route in previous.routes}
+    same_services = table.services == previous.services
     for route in table.routes:
-        old_route = old_routes.get((route.host, route.port))
-        if old_route is None:
+        previous_route = previous_routes.get((route.host, route.port))
+        if previous_route is None:
             continue
         if (
             same_services
-            and not old_route.earlier
-            and old_route.targets == route.targets
+            and not previous_route.earlier
+            and previous_route.targets == route.targets
         ):
             # Skips most routes of a large table. A starting control instance applies up
             # to `snapshot_entry_count` tables before it can serve one.
             continue
         listed = {target.service for target in route.targets}
-        earlier_services = [target.service for target in old_route.targets] + list(
-            old_route.earlier
+        earlier_services = [target.service for target in previous_route.targets] + list(
+            previous_route.earlier
         )
         for service in dict.fromkeys(earlier_services):
-            name = before.services[service]
+            name = previous.services[service]
             if name not in service_index:
                 service_index[name] = len(table.services)
                 table.services.append(name)
@@ -228,19 +232,21 @@
     targets: tuple[Target, ...]
     #: Services that its open flows may belong to.
     services: frozenset[str]
-    #: Whether callers may always retry its requests.
+    #: Whether callers may retry a request also if it may have run.
     idempotent: bool = False
     #: 0 is the most urgent.
     urgency: int = URGENCY_NOT_SET
-    #: Time within which callers want an answer, and after which they discard it;
-    #: infinity if not set or in a table of an earlier format.
+    #: Time within which callers want an answer; infinity if not set or in a table of an
+    #: earlier format.
     aim_s: float = inf
+    #: Time after which callers discard an answer; infinity in a table of an earlier
+    #: format.
     timeout_s: float = inf
 
 
 @dataclass(frozen=True, slots=True)
 class RouteTable:
-    """Routes by the address and port that callers send to."""
+    """Lookup table of routes by address and port, decoded from a `RoutingTable`."""
 
     version: int
     routes: Mapping[tuple[int, int], Route]
--- a/tests/routing/test_choice.py
+++ b/tests/routing/test_choice.py
@@ -118,7 +118,7 @@
             chosen[endpoint.address] += 1
         self.assertEqual(set(chosen.values()), {2})
 
-    def test_fast_failures_do_not_attract_requests(self):
+    def test_failing_server_backs_off_exponentially(self):
         """A backend server that fails at once is avoided for longer each time."""
         table = make_table(2)
         failing = table.by_address[address(1)]
@@ -156,8 +156,8 @@
             kept = table.by_address[address(1)].announcement
             self.assertEqual((kept.incarnation, kept.sequence), newest)
 
-    def test_other_service_cannot_take_a_live_address(self):
-        """An announcement of another service with the same incarnation is stale."""
+    def test_announcement_of_other_service_with_same_incarnation_is_stale(self):
+        """It does not change the service of an address that is in use."""
         table = make_table(1)
         received = announcement(service="receipts", sequence=9)
         self.assertIs(
--- a/tests/routing/test_table.py
+++ b/tests/routing/test_table.py
@@ -51,7 +51,10 @@
 
 class TestUrgencyAndTimes(unittest.TestCase):
     def test_urgency_and_times_reach_entry_instances(self):
-        """Urgency 0 is distinguished from an urgency that is not set."""
+        """Urgency 0 is distinguished from an urgency that is not set; times are sent.
+
+        A timeout above 32 bits can be encoded.
+        """
         target = (Target("tab", 1),)
         most_urgent = RouteRule("r-1", 1, 443, target, 2_000, urgency=0, aim_ms=400)
         without_urgency = RouteRule("r-2", 1, 444, target, 1 << 40)
