--- a/src/agatethread/entry/_requests.py
+++ b/src/agatethread/entry/_requests.py
@@ -110,7 +110,7 @@
     @property
     def waiting_counts(self) -> dict[str, int]:
         """Requests that wait for a slot, by service."""
-        return {name: queue.waiting for name, queue in self._queues.items()}
+        return {name: queue.waiting_count for name, queue in self._queues.items()}
 
     def _queue_of(self, service: str) -> ServiceQueue | None:
         if service not in self._book.documents:
--- a/src/agatethread/operations/__init__.py
+++ b/src/agatethread/operations/__init__.py
@@ -1,4 +1,11 @@
-"""Request processing: admission, at-most-once dispatch and verdicts."""
+"""Request processing: admission, at-most-once dispatch and verdicts.
+
+An operation is one request of a caller with all its copies. A sealed token in its id
+names two instances: the owner runs the operation, and the standby answers the caller if
+the owner ends. Before each attempt of an operation that is not idempotent, the owner
+requests a claim (permission) from the standby. The verdict is the final message to the
+caller: an answer, a refusal, or that it is unknown whether the operation ran.
+"""
 
 from agatethread.operations._claim_requests import ClaimRequester
 from agatethread.operations._claims import StandbyClaims
--- a/src/agatethread/operations/_attempts.py
+++ b/src/agatethread/operations/_attempts.py
@@ -24,22 +24,26 @@
 
 
 class AttemptEnd(enum.Enum):
-    """Kind of an attempt's end."""
+    """How an attempt ended."""
 
     ANSWERED = enum.auto()
+    #: The backend server refused the request without running it.
     SHED = enum.auto()
+    #: The backend server ended or left.
     LOST = enum.auto()
+    #: No reply within the attempt's timeout.
     TIMED_OUT = enum.auto()
     CANCELLED = enum.auto()
 
 
 @dataclass(frozen=True)
 class AttemptOutcome:
-    """End of an attempt, with the backend server's reply if there was one."""
+    """How an attempt ended, with the backend server's reply if there was one."""
 
     end: AttemptEnd
     reply: Envelope | None = None
-    waited_s: float = 0.0
+    #: Timeout of the attempt if it timed out, else 0.
+    timeout_s: float = 0.0
 
 
 def set_outcome(operation: Operation, outcome: AttemptOutcome) -> None:
@@ -61,16 +65,18 @@
 
     Parameters
     ----------
-    ports : InstanceCallbacks
+    callbacks : InstanceCallbacks
         Access to the rest of the instance.
     sealer : Sealer
-        Seals return labels.
+        Seals return labels: the addresses and attempt number that a reply carries back.
     counters : Counters
         Counts dispatches.
     """
 
-    def __init__(self, ports: InstanceCallbacks, sealer: Sealer, counters: Counters):
-        self._ports = ports
+    def __init__(
+        self, callbacks: InstanceCallbacks, sealer: Sealer, counters: Counters
+    ):
+        self._callbacks = callbacks
         self._sealer = sealer
         self._counters = counters
         self._outbox = Outbox()
@@ -96,7 +102,7 @@
         operation.may_have_run = True
         self._dispatch(operation, endpoint)
         self._counters["dispatched"] += 1
-        wait_s = operation.deadline_at_s - self._ports.now_s()
+        wait_s = operation.deadline_at_s - self._callbacks.now_s()
         if operation.idempotent:
             wait_s = min(
                 wait_s,
@@ -109,7 +115,7 @@
             return outcome
         except TimeoutError:
             self.cancel(operation)
-            return AttemptOutcome(AttemptEnd.TIMED_OUT, waited_s=wait_s)
+            return AttemptOutcome(AttemptEnd.TIMED_OUT, timeout_s=wait_s)
 
     def _dispatch(self, operation: Operation, endpoint: Endpoint) -> None:
         label = OperationLabel(
@@ -119,7 +125,7 @@
             operation.nonce,
             operation.attempt,
         )
-        remaining_s = operation.deadline_at_s - self._ports.now_s()
+        remaining_s = operation.deadline_at_s - self._callbacks.now_s()
         # Appended fields override those of the caller's datagram: protocol buffers
         # decoders use the last value of a field.
         suffix = Envelope(
@@ -131,7 +137,7 @@
         self._outbox.start(
             (operation.operation_id, operation.attempt),
             [datagram + suffix for datagram in operation.datagrams],
-            lambda data: self._ports.send_backend(endpoint.address, data),
+            lambda data: self._callbacks.send_backend(endpoint.address, data),
         )
 
     def cancel(self, operation: Operation) -> None:
@@ -152,7 +158,7 @@
             incarnation=endpoint.incarnation,
             attempt=operation.attempt,
         )
-        self._ports.send_backend(endpoint.address, cancel.SerializeToString())
+        self._callbacks.send_backend(endpoint.address, cancel.SerializeToString())
 
     def resend(self, operation_id: bytes, attempt: int, indices: Iterable[int]) -> None:
         """Send fragments of a large request again.
@@ -168,7 +174,7 @@
         """
         self._outbox.resend((operation_id, attempt), indices)
 
-    def done(self, operation: Operation) -> None:
+    def discard_fragments(self, operation: Operation) -> None:
         """Delete the fragments of the current attempt.
 
         Parameters
--- a/src/agatethread/operations/_claim_requests.py
+++ b/src/agatethread/operations/_claim_requests.py
@@ -7,7 +7,8 @@
 from agatethread.routing import Endpoint
 from agatethread.wire import Claim, ClaimReply, Peer, Reason
 
-MOVED_RETRY_S = 0.001
+#: Retry time for callers that may retry at once: the shortest that a verdict can carry.
+IMMEDIATE_RETRY_S = 0.001
 _CLAIM_RESEND_INTERVAL_S = 0.05
 
 
@@ -16,16 +17,18 @@
 
     Parameters
     ----------
-    ports : InstanceCallbacks
+    callbacks : InstanceCallbacks
         Access to the rest of the instance.
     timeout_s : float
-        Longest time that a claim may take.
+        Maximum time from the first request of a claim to a valid grant.
     counters : Counters
         Counts failed claims.
     """
 
-    def __init__(self, ports: InstanceCallbacks, timeout_s: float, counters: Counters):
-        self._ports = ports
+    def __init__(
+        self, callbacks: InstanceCallbacks, timeout_s: float, counters: Counters
+    ):
+        self._callbacks = callbacks
         self._timeout_s = timeout_s
         self._counters = counters
         self._pending_replies: dict[tuple[bytes, int], asyncio.Future[bool]] = {}
@@ -45,7 +48,7 @@
         RefusedError
             If the claim is denied or not granted in time.
         """
-        started_s = self._ports.now_s()
+        started_s = self._callbacks.now_s()
         key = (operation.operation_id, operation.attempt)
         reply = asyncio.get_running_loop().create_future()
         self._pending_replies[key] = reply
@@ -54,12 +57,12 @@
         finally:
             del self._pending_replies[key]
 
-        # The standby may have deleted the claim of a grant that is read late, so the
-        # grant is valid only within the timeout.
-        elapsed_s = self._ports.now_s() - started_s
+        # A grant received after the timeout is not valid: the standby may have deleted
+        # the claim.
+        elapsed_s = self._callbacks.now_s() - started_s
         if not granted or elapsed_s > self._timeout_s:
             self._counters["claim_failed"] += 1
-            raise RefusedError(Reason.MOVED, MOVED_RETRY_S)
+            raise RefusedError(Reason.MOVED, IMMEDIATE_RETRY_S)
 
     async def _ask_standby(
         self,
@@ -69,7 +72,7 @@
         started_s: float,
     ) -> bool:
         while True:
-            now_s = self._ports.now_s()
+            now_s = self._callbacks.now_s()
             if now_s - started_s >= self._timeout_s:
                 return False
             remaining_s = max(0.0, operation.deadline_at_s - now_s)
@@ -82,7 +85,7 @@
                 attempt=operation.attempt,
             )
             standby = operation.token.standby.address
-            self._ports.send_peer(standby, Peer(claim=claim))
+            self._callbacks.send_peer(standby, Peer(claim=claim))
             done, _ = await asyncio.wait([reply], timeout=_CLAIM_RESEND_INTERVAL_S)
             if done:
                 return reply.result()
--- a/src/agatethread/operations/_claims.py
+++ b/src/agatethread/operations/_claims.py
@@ -1,8 +1,10 @@
 """Standby's side of an operation: grants claims and answers for a failed owner.
 
-An operation's owner and standby never change. The owner dispatches only with a claim
-granted by the standby. A standby that has refused an operation, or has granted its
-claim, can therefore answer correctly if the owner hangs, fails or is unreachable.
+An operation's owner and standby are named in its token and never change. The owner
+dispatches only with a claim granted by the standby. The standby either has a record of
+the claim that it granted, or it refuses the operation to the caller and then denies
+every claim for it. It can therefore answer correctly if the owner hangs, fails or is
+unreachable.
 """
 
 import enum
@@ -34,7 +36,8 @@
     parse_token,
 )
 
-_MOVED_RETRY_S = 0.001
+#: Retry time for callers that may retry at once: the shortest that a verdict can carry.
+_IMMEDIATE_RETRY_S = 0.001
 #: How long after an operation's deadline the standby waits for the owner's verdict.
 _VERDICT_NOTE_GRACE_S = 5.0
 
@@ -57,11 +60,11 @@
 
 
 class StandbyClaims:
-    """Claims of operations whose standby is this run of this instance.
+    """Claims of operations whose standby is this incarnation of this instance.
 
     Parameters
     ----------
-    ports : InstanceCallbacks
+    callbacks : InstanceCallbacks
         Access to the rest of the instance.
     sealer : Sealer
         Opens tokens.
@@ -77,21 +80,21 @@
 
     def __init__(
         self,
-        ports: InstanceCallbacks,
+        callbacks: InstanceCallbacks,
         sealer: Sealer,
         endpoints: EndpointTable,
         counters: Counters,
         limit_count: int,
         retention_s: float,
     ):
-        self._ports = ports
+        self._callbacks = callbacks
         self._sealer = sealer
         self._endpoints = endpoints
         self._counters = counters
         self._records: RetainedTable[_ClaimRecord] = RetainedTable(
             limit_count, retention_s
         )
-        self._open: dict[bytes, _ClaimRecord] = {}
+        self._undecided: dict[bytes, _ClaimRecord] = {}
 
     def __len__(self) -> int:
         return len(self._records)
@@ -102,7 +105,7 @@
         Parameters
         ----------
         sender : MemberRef
-            The owner's run.
+            The owner: an instance and its incarnation.
         claim : Claim
             The claim.
         """
@@ -110,14 +113,14 @@
         self._counters["claim_granted" if granted else "claim_denied"] += 1
         reply = ClaimReply(operation_id=claim.operation_id, granted=granted)
         reply.attempt = claim.attempt
-        self._ports.send_peer(sender.address, Peer(claim_reply=reply))
+        self._callbacks.send_peer(sender.address, Peer(claim_reply=reply))
 
     def _grant(self, sender: MemberRef, claim: Claim) -> bool:
         token = self._parse(claim.operation_id)
         if (
             token is None
             or token.owner != sender
-            or token.standby != self._ports.own_member()
+            or token.standby != self._callbacks.own_member()
         ):
             return False
 
@@ -133,11 +136,11 @@
             claim.caller,
             claim.endpoint,
             claim.attempt,
-            self._ports.now_s() + claim.deadline_ms / 1000,
+            self._callbacks.now_s() + claim.deadline_ms / 1000,
             _State.CLAIMED,
         )
         self._records.add(claim.operation_id, record)
-        self._open[claim.operation_id] = record
+        self._undecided[claim.operation_id] = record
         return True
 
     @staticmethod
@@ -155,7 +158,7 @@
             return None
 
     def on_verdict_note(self, note: VerdictNote) -> None:
-        """Store the verdict of a live owner.
+        """Store a verdict that the owner sent.
 
         Parameters
         ----------
@@ -167,7 +170,7 @@
             self._decide(note.operation_id, record, note.datagram)
 
     def on_copy(self, envelope: Envelope, token: Token, caller: bytes) -> None:
-        """Answer a copy of an operation whose owner the sender considers dead.
+        """Answer a copy that is sent here since its sender considers the owner ended.
 
         Parameters
         ----------
@@ -181,11 +184,11 @@
         operation_id = envelope.operation_id
         record = self._records.get(operation_id)
         if record is not None and record.state is _State.DECIDED:
-            self._ports.send_caller(caller, record.verdict)
+            self._callbacks.send_caller(caller, record.verdict)
             return
-        if self._ports.is_alive(token.owner):
+        if self._callbacks.is_alive(token.owner):
             relay = Relay(caller=caller, datagram=envelope.SerializeToString())
-            self._ports.send_peer(token.owner.address, Peer(relay=relay))
+            self._callbacks.send_peer(token.owner.address, Peer(relay=relay))
             return
         if record is not None:
             record.caller = caller
@@ -193,30 +196,31 @@
         self._refuse(envelope, token, caller)
 
     def _refuse(self, envelope: Envelope, token: Token, caller: bytes) -> None:
-        fresh_token = self._ports.fresh_token(envelope.service)
+        fresh_token = self._callbacks.fresh_token(envelope.service)
         if self._records.is_full:
             verdict = make_unknown_verdict(
                 envelope.operation_id, Reason.TABLE_FULL, fresh_token
             )
-            self._ports.send_caller(caller, verdict)
+            self._callbacks.send_caller(caller, verdict)
             return
 
-        # Record the refusal before sending it, so that later claims are denied.
+        # Record the refusal before sending it, so that later claims are denied;
+        # `_decide` below changes the state.
         record = _ClaimRecord(
             token, envelope.service, caller, b"", 0, 0.0, _State.CLAIMED
         )
         self._records.add(envelope.operation_id, record)
         verdict = make_refused_verdict(
-            envelope.operation_id, Reason.MOVED, _MOVED_RETRY_S, fresh_token
+            envelope.operation_id, Reason.MOVED, _IMMEDIATE_RETRY_S, fresh_token
         )
         self._decide(envelope.operation_id, record, verdict)
         self._counters["standby_refused"] += 1
-        self._ports.send_caller(caller, verdict)
+        self._callbacks.send_caller(caller, verdict)
 
     def on_reply(
         self, operation_id: bytes, label: OperationLabel, envelope: Envelope
     ) -> None:
-        """Handle a backend server's reply to an operation whose owner is dead.
+        """Handle a backend server's reply to an operation whose owner has ended.
 
         Parameters
         ----------
@@ -238,21 +242,25 @@
                 kind=Kind.ANSWER, operation_id=operation_id, payload=envelope.payload
             ).SerializeToString()
         else:
-            # Shed: the operation did not run, and later attempts will be denied.
-            fresh_token = self._ports.fresh_token(record.service)
+            # The server shed the operation, so it did not run; later claims are denied.
+            fresh_token = self._callbacks.fresh_token(record.service)
             verdict = make_refused_verdict(
-                operation_id, Reason.MOVED, _MOVED_RETRY_S, fresh_token
+                operation_id, Reason.MOVED, _IMMEDIATE_RETRY_S, fresh_token
             )
         self._decide(operation_id, record, verdict)
         self._counters["standby_completed"] += 1
-        self._ports.send_caller(record.caller, verdict)
+        self._callbacks.send_caller(record.caller, verdict)
 
     def sweep(self) -> None:
-        """Send "unknown" for operations of dead owners that can't be answered."""
-        now_s = self._ports.now_s()
-        for operation_id, record in list(self._open.items()):
+        """Decide overdue claims and delete expired records.
+
+        If the owner has ended, the caller gets the verdict "unknown" at the deadline or
+        once the backend server is gone.
+        """
+        now_s = self._callbacks.now_s()
+        for operation_id, record in list(self._undecided.items()):
             is_late = now_s > record.deadline_at_s
-            if self._ports.is_alive(record.token.owner):
+            if self._callbacks.is_alive(record.token.owner):
                 if now_s > record.deadline_at_s + _VERDICT_NOTE_GRACE_S:
                     self._close_without_note(operation_id, record)
                 continue
@@ -261,8 +269,8 @@
         self._records.expire(now_s)
 
     def _close_without_note(self, operation_id: bytes, record: _ClaimRecord) -> None:
-        # The owner has answered the caller by the deadline; its verdict note was lost.
-        fresh_token = self._ports.fresh_token(record.service)
+        # Assume that the owner has answered the caller and that its note was lost.
+        fresh_token = self._callbacks.fresh_token(record.service)
         verdict = make_unknown_verdict(operation_id, Reason.DEADLINE, fresh_token)
         self._decide(operation_id, record, verdict)
 
@@ -271,16 +279,16 @@
         return endpoint is not None and endpoint.gone
 
     def _send_unknown(self, operation_id: bytes, record: _ClaimRecord) -> None:
-        fresh_token = self._ports.fresh_token(record.service)
+        fresh_token = self._callbacks.fresh_token(record.service)
         verdict = make_unknown_verdict(operation_id, Reason.HOME_LOST, fresh_token)
         self._decide(operation_id, record, verdict)
         self._counters["standby_unknown"] += 1
-        self._ports.send_caller(record.caller, verdict)
+        self._callbacks.send_caller(record.caller, verdict)
 
     def _decide(
         self, operation_id: bytes, record: _ClaimRecord, verdict: bytes
     ) -> None:
         record.state = _State.DECIDED
         record.verdict = verdict
-        self._open.pop(operation_id, None)
-        self._records.finish(operation_id, self._ports.now_s())
+        self._undecided.pop(operation_id, None)
+        self._records.finish(operation_id, self._callbacks.now_s())
--- a/src/agatethread/operations/_large_verdicts.py
+++ b/src/agatethread/operations/_large_verdicts.py
@@ -1,4 +1,4 @@
-"""Bounded short-term store of verdicts that need several datagrams."""
+"""Limits the memory of verdicts that need several datagrams."""
 
 from collections import deque
 
@@ -14,24 +14,26 @@
 
 
 class LargeVerdicts:
-    """Operations with a verdict that needs several datagrams.
+    """Limits the age and total size of verdicts that need several datagrams.
+
+    The verdicts stay in their operations; older ones are replaced.
 
     Parameters
     ----------
-    ports : InstanceCallbacks
+    callbacks : InstanceCallbacks
         Access to the rest of the instance.
     limit_bytes : int
         Maximum total size of the verdicts.
     """
 
-    def __init__(self, ports: InstanceCallbacks, limit_bytes: int):
-        self._ports = ports
+    def __init__(self, callbacks: InstanceCallbacks, limit_bytes: int):
+        self._callbacks = callbacks
         self._limit_bytes = limit_bytes
-        self._stored: deque[tuple[float, Operation]] = deque()
+        self._tracked: deque[tuple[float, Operation]] = deque()
         self._size_bytes = 0
 
-    def store(self, operation: Operation) -> None:
-        """Store the verdict of an operation if it is large.
+    def track(self, operation: Operation) -> None:
+        """Count the verdict of an operation towards the limits if it is large.
 
         Parameters
         ----------
@@ -41,20 +43,20 @@
         size_bytes = len(operation.verdict)
         if size_bytes <= MAX_DATAGRAM_BYTES:
             return
-        self._stored.append((self._ports.now_s(), operation))
+        self._tracked.append((self._callbacks.now_s(), operation))
         self._size_bytes += size_bytes
         self.expire()
 
     def expire(self) -> None:
         """Replace verdicts that are too old or exceed the size limit by "unknown"."""
-        oldest_s = self._ports.now_s() - _RETENTION_S
-        while self._stored:
-            stored_s, operation = self._stored[0]
-            if stored_s > oldest_s and self._size_bytes <= self._limit_bytes:
+        oldest_s = self._callbacks.now_s() - _RETENTION_S
+        while self._tracked:
+            tracked_s, operation = self._tracked[0]
+            if tracked_s > oldest_s and self._size_bytes <= self._limit_bytes:
                 return
-            self._stored.popleft()
+            self._tracked.popleft()
             self._size_bytes -= len(operation.verdict)
-            fresh_token = self._ports.fresh_token(operation.service)
+            fresh_token = self._callbacks.fresh_token(operation.service)
             operation.verdict = make_unknown_verdict(
                 operation.operation_id, Reason.TOO_LARGE, fresh_token
             )
--- a/src/agatethread/operations/_owner.py
+++ b/src/agatethread/operations/_owner.py
@@ -10,7 +10,7 @@
     Attempts,
     set_outcome,
 )
-from agatethread.operations._claim_requests import MOVED_RETRY_S, ClaimRequester
+from agatethread.operations._claim_requests import IMMEDIATE_RETRY_S, ClaimRequester
 from agatethread.operations._large_verdicts import LargeVerdicts
 from agatethread.operations._queue import ServiceQueue
 from agatethread.operations._records import (
@@ -37,33 +37,35 @@
     VerdictNote,
 )
 
-_REFUSE_RETRY_S = 1.0
+_REFUSED_RETRY_AFTER_S = 1.0  # of operations refused without an attempt
 
 
 class OperationOwner:
-    """Operations that this run of this instance owns.
+    """Operations that this incarnation of this instance owns.
 
     Parameters
     ----------
-    ports : InstanceCallbacks
+    callbacks : InstanceCallbacks
         Access to the rest of the instance.
     sealer : Sealer
-        Seals return labels.
+        Seals the return labels of attempts.
     queue_of : callable
-        Returns a service's queue, or None if it has no document.
+        Returns a service's queue; None for a service without a configuration document.
     is_dispatcher : callable
         Returns whether this instance dispatches for a service at present.
     start_task : callable
         Runs a coroutine as a task of the instance.
     counters : Counters
         Counts verdicts.
-    limit_count, retention_s, claim_timeout_s, large_limit_bytes
-        As in the settings; the last limits the large verdicts kept for copies.
+    limit_count, retention_s
+        Maximum number of operations; time for which a finished one is kept for copies.
+    claim_timeout_s, large_limit_bytes
+        Time for a claim to be granted; total size of the large verdicts that are kept.
     """
 
     def __init__(
         self,
-        ports: InstanceCallbacks,
+        callbacks: InstanceCallbacks,
         sealer: Sealer,
         queue_of: Callable[[str], ServiceQueue | None],
         is_dispatcher: Callable[[str], bool],
@@ -74,16 +76,16 @@
         claim_timeout_s: float,
         large_limit_bytes: int,
     ):
-        self._ports = ports
+        self._callbacks = callbacks
         self._queue_of = queue_of
         self._is_dispatcher = is_dispatcher
         self._start_task = start_task
         self._counters = counters
-        self.claims = ClaimRequester(ports, claim_timeout_s, counters)
+        self.claims = ClaimRequester(callbacks, claim_timeout_s, counters)
         self._table: RetainedTable[Operation] = RetainedTable(limit_count, retention_s)
         self._running: set[Operation] = set()
-        self._attempts = Attempts(ports, sealer, counters)
-        self._large_verdicts = LargeVerdicts(ports, large_limit_bytes)
+        self._attempts = Attempts(callbacks, sealer, counters)
+        self._large_verdicts = LargeVerdicts(callbacks, large_limit_bytes)
 
     def __len__(self) -> int:
         return len(self._table)
@@ -103,7 +105,7 @@
         envelope : Envelope
             The caller's request.
         token : Token
-            Its token; its owner is this run.
+            Its token; its owner is this incarnation.
         caller : bytes
             Packed address of the caller.
         deadline_s : float
@@ -123,17 +125,16 @@
         self._start_task(self._run(operation))
 
     def _send_table_full(self, envelope: Envelope, caller: bytes) -> None:
-        # A refusal is valid only if it is recorded; with a full table the verdict is
-        # "unknown".
+        # Without a record of a refusal a later copy could run: "unknown" instead.
         self._counters["operation_table_full"] += 1
-        fresh_token = self._ports.fresh_token(envelope.service)
+        fresh_token = self._callbacks.fresh_token(envelope.service)
         verdict = make_unknown_verdict(
             envelope.operation_id, Reason.TABLE_FULL, fresh_token
         )
-        self._ports.send_caller(caller, verdict)
+        self._callbacks.send_caller(caller, verdict)
 
     def has_operation(self, operation_id: bytes) -> bool:
-        """Return whether an operation was received before.
+        """Return whether the table has a record of an operation.
 
         Parameters
         ----------
@@ -143,7 +144,7 @@
         Returns
         -------
         bool
-            Whether the table has a record of it.
+            False also after its retention time.
         """
         return self._table.get(operation_id) is not None
 
@@ -157,7 +158,7 @@
         envelope : Envelope
             The caller's request.
         token : Token
-            Its token; its owner is this run.
+            Its token; its owner is this incarnation.
         caller : bytes
             Packed address of the caller.
         reason : int
@@ -168,37 +169,37 @@
             return
         operation = self._make_operation(envelope, token, caller, 0.0)
         self._table.add(operation.operation_id, operation)
-        refusal = RefusedError(reason, _REFUSE_RETRY_S)
-        self._finish(operation, self._refusal(operation, refusal))
+        refusal = RefusedError(reason, _REFUSED_RETRY_AFTER_S)
+        self._finish(operation, self._verdict_of_refusal(operation, refusal))
 
     def _make_operation(
         self, envelope: Envelope, token: Token, caller: bytes, deadline_s: float
     ) -> Operation:
-        deadline_at_s = self._ports.now_s() + deadline_s
+        deadline_at_s = self._callbacks.now_s() + deadline_s
         return make_operation(envelope, token, caller, deadline_at_s)
 
     def _on_copy(self, operation: Operation, caller: bytes) -> None:
         self._counters["operation_copies"] += 1
         operation.caller = caller
         if operation.verdict is not None:
-            self._ports.send_caller(caller, operation.verdict)
+            self._callbacks.send_caller(caller, operation.verdict)
             return
         self._send_accepted(operation)
 
     def _send_accepted(self, operation: Operation) -> None:
         accepted = Envelope(kind=Kind.ACCEPTED, operation_id=operation.operation_id)
-        self._ports.send_caller(operation.caller, accepted.SerializeToString())
+        self._callbacks.send_caller(operation.caller, accepted.SerializeToString())
 
     async def _run(self, operation: Operation) -> None:
         try:
             verdict = await self._serve(operation)
         except RefusedError as error:
             self._counters["refused_" + Reason.Name(error.reason).lower()] += 1
-            verdict = self._refusal(operation, error)
+            verdict = self._verdict_of_refusal(operation, error)
         self._finish(operation, verdict)
 
-    def _refusal(self, operation: Operation, error: RefusedError) -> bytes:
-        token = self._ports.fresh_token(operation.service)
+    def _verdict_of_refusal(self, operation: Operation, error: RefusedError) -> bytes:
+        token = self._callbacks.fresh_token(operation.service)
         if operation.may_have_run:
             return make_unknown_verdict(operation.operation_id, error.reason, token)
         return make_refused_verdict(
@@ -210,9 +211,9 @@
         operation.datagrams = []
         operation.endpoint = None
         self._running.discard(operation)
-        self._table.finish(operation.operation_id, self._ports.now_s())
-        self._ports.send_caller(operation.caller, verdict)
-        self._large_verdicts.store(operation)
+        self._table.finish(operation.operation_id, self._callbacks.now_s())
+        self._callbacks.send_caller(operation.caller, verdict)
+        self._large_verdicts.track(operation)
         if not operation.idempotent and operation.token.standby != NO_MEMBER:
             self._send_verdict_note(operation)
 
@@ -221,13 +222,13 @@
         if len(verdict) > MAX_DATAGRAM_BYTES:
             # The standby stores no large answers; it answers copies with "unknown" if
             # the owner fails.
-            fresh_token = self._ports.fresh_token(operation.service)
+            fresh_token = self._callbacks.fresh_token(operation.service)
             verdict = make_unknown_verdict(
                 operation.operation_id, Reason.HOME_LOST, fresh_token
             )
         note = VerdictNote(operation_id=operation.operation_id, datagram=verdict)
         standby = operation.token.standby.address
-        self._ports.send_peer(standby, Peer(verdict_note=note))
+        self._callbacks.send_peer(standby, Peer(verdict_note=note))
 
     def resend_verdict(self, operation_id: bytes, indices: Iterable[int]) -> None:
         """Send fragments of a large verdict again.
@@ -245,7 +246,7 @@
         datagrams = split_datagram(operation.verdict)
         requested = [datagrams[index] for index in indices if index < len(datagrams)]
         for datagram in requested:
-            self._ports.send_caller(operation.caller, datagram)
+            self._callbacks.send_caller(operation.caller, datagram)
 
     def resend_request(
         self, operation_id: bytes, attempt: int, indices: Iterable[int]
@@ -265,13 +266,13 @@
 
     async def _serve(self, operation: Operation) -> bytes:
         if not self._is_dispatcher(operation.service):
-            raise RefusedError(Reason.MOVED, MOVED_RETRY_S)
+            raise RefusedError(Reason.MOVED, IMMEDIATE_RETRY_S)
         queue = self._queue_of(operation.service)
         if queue is None:
             raise RefusedError(Reason.NO_DOCUMENT, 1.0)
 
         self._send_accepted(operation)
-        queue.earn_retry()
+        queue.add_retry_tokens()
         avoid = None
         while True:
             endpoint = await queue.acquire(
@@ -286,7 +287,7 @@
     async def _run_attempt(
         self, operation: Operation, queue: ServiceQueue, endpoint: Endpoint
     ) -> AttemptOutcome:
-        started_s = self._ports.now_s()
+        started_s = self._callbacks.now_s()
         service_time_s = None
         try:
             operation.attempt += 1
@@ -296,18 +297,18 @@
                 self._check_may_start(operation)
             outcome = await self._attempts.run(operation, endpoint)
             if outcome.end is AttemptEnd.ANSWERED:
-                service_time_s = self._ports.now_s() - started_s
+                service_time_s = self._callbacks.now_s() - started_s
             return outcome
         finally:
-            self._attempts.done(operation)
+            self._attempts.discard_fragments(operation)
             queue.release(endpoint, service_time_s)
 
     def _check_may_start(self, operation: Operation) -> None:
-        # Checked just before each step, since the process may have been suspended.
+        # Checked again after each wait: the process may have been suspended.
         if operation.cancelled:
-            raise RefusedError(Reason.CANCELLED, MOVED_RETRY_S)
-        if self._ports.now_s() >= operation.deadline_at_s:
-            raise RefusedError(Reason.DEADLINE, MOVED_RETRY_S)
+            raise RefusedError(Reason.CANCELLED, IMMEDIATE_RETRY_S)
+        if self._callbacks.now_s() >= operation.deadline_at_s:
+            raise RefusedError(Reason.DEADLINE, IMMEDIATE_RETRY_S)
 
     def on_reply(
         self, operation_id: bytes, label: OperationLabel, envelope: Envelope
@@ -331,7 +332,7 @@
         set_outcome(operation, AttemptOutcome(ends[envelope.kind], envelope))
 
     def on_cancel(self, operation_id: bytes) -> None:
-        """Cancel an operation for its caller."""
+        """Cancel an operation for its caller; its task then sends the verdict."""
         operation = self._table.get(operation_id)
         if operation is None or operation.verdict is not None:
             return
@@ -354,7 +355,7 @@
     ) -> bytes | None:
         operation.endpoint = None
         operation.outcome = None
-        now_s = self._ports.now_s()
+        now_s = self._callbacks.now_s()
         if outcome.end is AttemptEnd.ANSWERED:
             endpoint.record_success()
             self._counters["answered"] += 1
@@ -362,38 +363,38 @@
                 kind=Kind.ANSWER,
                 operation_id=operation.operation_id,
                 payload=outcome.reply.payload,
-                token=self._ports.fresh_token(operation.service),
+                token=self._callbacks.fresh_token(operation.service),
             ).SerializeToString()
 
         if outcome.end is AttemptEnd.SHED:
             retry_after_s = outcome.reply.retry_after_ms / 1000
             endpoint.record_failure(now_s, retry_after_s)
             self._counters["shed"] += 1
-            if queue.spend_retry():
+            if queue.take_retry_token():
                 return None
             raise RefusedError(Reason.OVERLOADED, max(retry_after_s, 0.05))
 
         timed_out = outcome.end is AttemptEnd.TIMED_OUT
-        had_ample_time = timed_out and queue.has_ample_time(outcome.waited_s)
-        if outcome.end is AttemptEnd.LOST or had_ample_time:
+        was_ample = timed_out and queue.was_timeout_ample(outcome.timeout_s)
+        if outcome.end is AttemptEnd.LOST or was_ample:
             endpoint.record_failure(now_s)
         in_time = now_s < operation.deadline_at_s and not operation.cancelled
-        if operation.idempotent and in_time and queue.spend_retry():
+        if operation.idempotent and in_time and queue.take_retry_token():
             self._counters["retried"] += 1
             return None
-        return self._unknown(operation, outcome.end)
+        return self._make_unknown(operation, outcome.end)
 
-    def _unknown(self, operation: Operation, end: AttemptEnd) -> bytes:
+    def _make_unknown(self, operation: Operation, end: AttemptEnd) -> bytes:
         self._counters["unknown"] += 1
         reasons = {
             AttemptEnd.LOST: Reason.BACKEND_LOST,
             AttemptEnd.TIMED_OUT: Reason.DEADLINE,
             AttemptEnd.CANCELLED: Reason.CANCELLED,
         }
-        fresh_token = self._ports.fresh_token(operation.service)
+        fresh_token = self._callbacks.fresh_token(operation.service)
         return make_unknown_verdict(operation.operation_id, reasons[end], fresh_token)
 
     def expire(self) -> None:
-        """Delete verdicts whose retention time has passed."""
+        """Replace large verdicts and delete operations past their retention times."""
         self._large_verdicts.expire()
-        self._table.expire(self._ports.now_s())
+        self._table.expire(self._callbacks.now_s())
--- a/src/agatethread/operations/_records.py
+++ b/src/agatethread/operations/_records.py
@@ -23,7 +23,7 @@
 
 
 class RefusedError(AgatethreadError):
-    """An operation is refused and has not run.
+    """An operation is refused: no further attempt is made.
 
     Parameters
     ----------
@@ -48,17 +48,18 @@
     now_s : callable
         Monotonic clock.
     own_member : callable
-        Returns the reference to this run of this instance.
+        Returns the reference to this incarnation of this instance.
     is_alive : callable
-        Returns False if a run of another instance is known to have ended.
+        Returns False if an incarnation of an instance is known to have ended.
     send_peer : callable
         Sends a message to an instance's packed inner address.
     send_backend : callable
         Sends a datagram to a backend server's packed address.
     send_caller : callable
-        Sends a datagram to a caller's packed address.
+        Sends a message to a caller's packed address, in several datagrams if needed.
     fresh_token : callable
-        Returns a sealed token for a service by the current ranking of instances.
+        Returns a sealed token for a service. It names the owner and the standby of the
+        caller's next operation, by the current ranking of instances.
     """
 
     now_s: Callable[[], float]
@@ -232,7 +233,7 @@
     envelope : Envelope
         The request.
     token : Token
-        Names the instances that may decide it.
+        Names the operation's owner and standby.
     caller : bytes
         Packed address of the caller.
     deadline_at_s : float
--- a/tests/operations/test_machine.py
+++ b/tests/operations/test_machine.py
@@ -12,7 +12,7 @@
 
 
 class OperationsMachine(RuleBasedStateMachine):
-    """Requests with injected faults, checked by the runs at the backend servers."""
+    """Requests with injected faults, checked against what the servers executed."""
 
     def __init__(self):
         super().__init__()
@@ -82,6 +82,6 @@
         """The checks detect operations that run twice without claims."""
         self.assertTrue(self._violations("claims"))
 
-    def test_detects_missing_fence(self):
+    def test_detects_grants_after_refusal(self):
         """The checks detect a standby that grants claims of refused operations."""
         self.assertTrue(self._violations("fence"))
--- a/tests/operations/test_queue.py
+++ b/tests/operations/test_queue.py
@@ -120,7 +120,7 @@
 
         self.assertEqual(run(main), Reason.OVERLOADED)
 
-    def test_full_queue_evicts_request_of_longest_line(self):
+    def test_full_queue_evicts_request_of_longest_queue(self):
         """A full queue evicts the last due request of the partner that fills it."""
 
         async def main():
@@ -146,8 +146,8 @@
         self.assertTrue(is_waiting)
         self.assertEqual(reason, Reason.OVERLOADED)
 
-    def test_long_line_of_another_partner_refuses_no_request(self):
-        """A request that gets its turn in time is queued despite others' long lines."""
+    def test_long_queue_of_another_partner_refuses_no_request(self):
+        """A request whose turn comes in time is queued despite others' long queues."""
 
         async def main():
             queue = make_queue()
@@ -181,6 +181,8 @@
             return retry_after_s
 
         *big, small = run(main)
+        # The wait of 1 s without slots, and a turn of 20 ms for each refused request:
+        # 400 for the last one of "big", about 2 for "small". Jitter shortens both.
         self.assertGreater(max(big), 8.5)
         self.assertLess(small, 1.1)
 
@@ -250,7 +252,7 @@
             waiter.cancel()
             await asyncio.sleep(0.01)
             queue.release(endpoint, 0.01)
-            return queue.waiting, endpoint.in_flight
+            return queue.waiting_count, endpoint.in_flight
 
         self.assertEqual(run(main), (0, 0))
 
@@ -259,11 +261,11 @@
 
         async def main():
             queue = make_queue(retry_ratio=0.25)
-            while queue.spend_retry():
+            while queue.take_retry_token():
                 continue
             for _ in range(8):
-                queue.earn_retry()
-            return sum(queue.spend_retry() for _ in range(10))
+                queue.add_retry_tokens()
+            return sum(queue.take_retry_token() for _ in range(10))
 
         self.assertEqual(run(main), 2)
 
@@ -322,7 +324,7 @@
         return run(main)
 
     def test_retries_are_spread_after_outage(self):
-        """Retries hardly exceed the capacity, and all callers are served in time."""
+        """Retries exceed the capacity by at most a quarter; callers are soon served."""
         needed_s = self.CALLERS * self.WORK_S / self.SLOTS
         for urgency in (0, 5, 9):
             retried_s, done_s = self.simulate_outage(urgency)
@@ -332,7 +334,7 @@
                 self.assertLess(max(done_s), 1.15 * needed_s)
 
     def test_common_retry_time_overloads(self):
-        """With a common retry time callers retry at twice the rate and repeatedly."""
+        """With a common retry time retries exceed twice the capacity and repeat."""
         retried_s, _ = self.simulate_outage(5, max_retry_after_s=1.0)
         retry_count = Counter(int(at_s // 0.25) for at_s in retried_s if at_s >= 0)
         self.assertGreater(max(retry_count.values()), 2 * 0.25 * 200)
