--- a/src/agatethread/routing/_table.py
+++ b/src/agatethread/routing/_table.py
@@ -22,7 +22,7 @@
 #: Longest timeout that fits into a 32-bit field; longer ones are reduced to it.
 _MAX_TIMEOUT_MS = (1 << 32) - 1
 #: Largest urgency number, so the least urgent, that a document may set; 0 is the most
-#: urgent. `check_document` does not check it.
+#: urgent. The platform's parser reduces larger numbers to it.
 LOWEST_URGENCY = URGENCY_NOT_SET - 1
 
 
--- a/tests/balancing/test_retry_schedule.py
+++ b/tests/balancing/test_retry_schedule.py
@@ -36,7 +36,7 @@
 
 class TestRetrySchedule(unittest.TestCase):
     @given(st.lists(st.tuples(st.floats(0, 2), st.floats(0, 3)), min_size=1))
-    def test_booked_times_are_a_turn_apart(self, refusals):
+    def test_reserved_times_are_a_turn_apart(self, refusals):
         """Times are a turn apart, not before the wait and not above the bound."""
         schedule, last_s, now_s = RetrySchedule(), 0.0, 0.0
         for pause_s, wait_s in refusals:
@@ -79,12 +79,12 @@
     )
     def test_turns_delay_no_caller_beyond_a_single_partner(self, refusals, turn_s):
         """With partners taking turns no time is later than with one partner for all."""
-        schedule, single_line, now_s = RetrySchedule(), RetrySchedule(), 0.0
+        schedule, single_partner, now_s = RetrySchedule(), RetrySchedule(), 0.0
         for partner, pause_s in refusals:
             now_s += pause_s
             retry_after_s = schedule.reserve(partner, 0.5, turn_s, now_s)
             self.assertLessEqual(
-                retry_after_s, single_line.reserve("", 0.5, turn_s, now_s) + 1e-9
+                retry_after_s, single_partner.reserve("", 0.5, turn_s, now_s) + 1e-9
             )
             self.assertGreaterEqual(retry_after_s, 0.5)
             self.assertLessEqual(len(schedule), 3)
