--- a/src/agatethread/datapath/_relaying.py
+++ b/src/agatethread/datapath/_relaying.py
@@ -249,7 +249,7 @@
         """Update the pressure of a service; return whether its openings are relayed."""
         self._uncount_outdated(now_s)
         in_flight_count = sum(run.in_flight for run in self._runs_of(service))
-        is_under_pressure = self._gauge.is_high(
+        is_under_pressure = self._gauge.record_opening(
             service,
             in_flight_count + self._unplaced_counts.get(service, 0),
             self._groups.entry_count,
