--- a/src/agatethread/datapath/_backend.py
+++ b/src/agatethread/datapath/_backend.py
@@ -7,17 +7,19 @@
 from agatethread.wire import unpack_address
 from agatethread.wire.registry_pb2 import BackendRun
 
-#: Consecutive unanswered openings; a single one may be a lost packet or a full queue.
-_FAILURES_BEFORE_PENALTY = 2
-#: Covers a few copies of an opening, which callers send 200 ms apart.
+#: Consecutive missing answers to openings or requests from which a run is avoided. A
+#: single one may be due to a lost packet or a full queue.
+_PENALTY_MIN_FAILURES = 2
+#: Longer than the 200 ms after which a caller sends the first copy of an opening.
 _INITIAL_PENALTY_S = 0.5
-#: Longer than the 200 ms after which a caller sends the next copy of an opening.
-_TRIAL_TIMEOUT_S = 0.3
+#: Time between two openings to an avoided run. Longer than the 200 ms after which a
+#: caller sends the first copy of an opening.
+_TRIAL_INTERVAL_S = 0.3
 
 #: Weight of the newest answer in the moving average of the answer time.
 _ANSWER_TIME_WEIGHT = 0.1
-#: Time after the last unanswered packet for which flows may be reset. Longer than the
-#: 1.6 s within which callers send again.
+#: Time after the last evidence of a missing answer for which flows may be reset.
+#: Longer than the time within which callers retransmit a packet.
 _UNREACHABLE_VALID_S = 2.0
 _MAX_WAITING_FLOWS = 64
 
@@ -25,14 +27,18 @@
 
 
 class Backend:
-    """One run of a backend server, with the counts of this instance.
+    """One run of a backend server, as seen by this instance.
+
+    A run lasts from one start of the backend server to its end. Variables named
+    `backend` hold a run.
 
     Parameters
     ----------
     run : BackendRun
         First known state of the run.
     policies : Policies, optional
-        Sets the longest time for which new flows avoid the run.
+        Sets the longest time for which the run is avoided, i.e. gets no new flows if
+        another run can take them.
     """
 
     __slots__ = (
@@ -55,7 +61,7 @@
         "reporting",
         "sequence",
         "service",
-        "shares_label",
+        "is_label_taken",
         "reporting_changed_s",
         "slots",
         "started_ms",
@@ -90,38 +96,42 @@
         self.ended_s = 0.0
         #: Whether the failure domain of the run is evacuated.
         self.evacuated = False
-        #: Whether control instances receive its reports.
+        #: Whether control instances receive its reports; assumed until they say no.
         self.reporting = True
         #: Time of the last change of `reporting`.
         self.reporting_changed_s = 0.0
-        #: Whether another run that is used instead has the same label.
-        self.shares_label = False
-        #: Time at which it is warmed up after its start.
+        #: Whether the run gets no flows because another run has the same label.
+        self.is_label_taken = False
+        #: Time until which the run counts as cold.
         self.warm_s = 0.0
-        #: Share of its usual new work, 0 to 1, set by control instances, and the time
-        #: at which it expires; see `usable_weight`.
+        #: Factor on its share of new flows, 0 to 1, set by control instances.
         self.weight = 1.0
+        #: Time at which `weight` expires.
         self.weight_valid_until_s = 0.0
-        #: Open flows and unanswered requests seen by this instance.
+        #: Flows recorded by this instance.
         self.flows = 0
+        #: Recorded flows with an opening or a request in progress.
         self.in_flight = 0
         #: Time of the last packet that showed an answer to a caller.
         self.last_answer_s = 0.0
         #: Moving average of the answer time; 0 before the first answer.
         self.usual_answer_s = 0.0
+        #: Consecutive missing answers.
         self.failures = 0
+        #: Time until which the run is avoided.
         self.penalty_until_s = 0.0
-        #: Open flows that wait for an answer since the last answer to any caller, and
-        #: the time from which the first of them waits.
+        #: Flows with a retransmitted request since the last answer to any caller.
         self.waiting: set[FlowKey] = set()
+        #: Time from which the flow that was added first to `waiting` waits.
         self.waiting_since_s = 0.0
-        #: Whether it is considered unreachable, see `_reachability`.
+        #: Whether it was found unreachable and has not answered since; see
+        #: `is_marked_unreachable` and `_reachability`.
         self.unreachable = False
-        #: Time of the last packet that showed a missing answer.
+        #: Time of the last evidence of a missing answer.
         self.last_unanswered_s = 0.0
 
     def usable_weight(self, now_s: float) -> float:
-        """Return the share of its usual new work that the run gets.
+        """Return the current factor on the run's share of new flows.
 
         Parameters
         ----------
@@ -131,16 +141,16 @@
         Returns
         -------
         float
-            0 to 1; 1 if there is no current weight.
+            0 to 1; 1 if there is no weight or it has expired.
         """
         return self.weight if now_s < self.weight_valid_until_s else 1.0
 
     def is_marked_unreachable(self, now_s: float) -> bool:
         """Return whether the run is unreachable by recent evidence.
 
-        A run is reachable again after a network cut. An instance with few flows may
-        not try the run for seconds after that; by old evidence it would reset flows of
-        a run that answers.
+        After a network cut ends, an instance with few flows may send the run nothing
+        for seconds, so its mark stays. With old evidence it would reset flows of a run
+        that answers again.
 
         Parameters
         ----------
@@ -178,13 +188,13 @@
         Parameters
         ----------
         took_s : float
-            Time from the request.
+            Time from the request to the packet that acknowledges its answer.
         """
         previous_s = self.usual_answer_s or took_s
         self.usual_answer_s = previous_s + (took_s - previous_s) * _ANSWER_TIME_WEIGHT
 
     def add_waiting_flow(self, key: FlowKey, since_s: float) -> None:
-        """Record that an open flow waits for an answer.
+        """Record that the answer to a request on an open flow is missing.
 
         Parameters
         ----------
@@ -201,7 +211,7 @@
             self.waiting.add(key)
 
     def record_failure(self, since_s: float, now_s: float) -> None:
-        """Record a missing answer and avoid the run after several of them.
+        """Record a missing answer; from the second one in a row, avoid the run.
 
         Parameters
         ----------
@@ -211,11 +221,12 @@
             Current time.
         """
         if self.last_answer_s >= since_s:
-            # The run answers other callers, so the packet was lost or its queue full.
+            # The run answers other callers, so the packet was lost, maybe at a full
+            # queue of the run.
             return
         self.last_unanswered_s = now_s
         self.failures += 1
-        excess_count = self.failures - _FAILURES_BEFORE_PENALTY
+        excess_count = self.failures - _PENALTY_MIN_FAILURES
         if excess_count < 0:
             return
         pause_s = self._penalize(_INITIAL_PENALTY_S * 2 ** min(excess_count, 8), now_s)
@@ -228,7 +239,7 @@
         )
 
     def _penalize(self, pause_s: float, now_s: float) -> float:
-        """Stop new flows for a pause and return its length after the limit."""
+        """Avoid the run for a limited pause, and return the pause."""
         pause_s = min(pause_s, self.longest_avoidance_s)
         self.penalty_until_s = now_s + pause_s
         return pause_s
@@ -248,19 +259,22 @@
         """
         self.unreachable = True
         self.last_unanswered_s = now_s
-        # The waiting flows are reset now, or wait for a late answer.
+        # The caller of this method resets these flows, except for requests that can't
+        # be retried.
         self.waiting.clear()
-        self.failures = max(self.failures, _FAILURES_BEFORE_PENALTY)
+        self.failures = max(self.failures, _PENALTY_MIN_FAILURES)
         if self.penalty_until_s < now_s + _INITIAL_PENALTY_S:
             self._penalize(_INITIAL_PENALTY_S, now_s)
 
     def start_trial(self, now_s: float) -> None:
-        """Stop further openings to an avoided run while one opening tries it.
+        """Avoid the run while the opening that was just placed on it may be answered.
+
+        Does nothing if the run has not been avoided since its last answer.
 
         Parameters
         ----------
         now_s : float
             Current time.
         """
-        if self.failures >= _FAILURES_BEFORE_PENALTY:
-            self._penalize(_TRIAL_TIMEOUT_S, now_s)
+        if self.failures >= _PENALTY_MIN_FAILURES:
+            self._penalize(_TRIAL_INTERVAL_S, now_s)
--- a/src/agatethread/datapath/_backends.py
+++ b/src/agatethread/datapath/_backends.py
@@ -7,20 +7,21 @@
 from agatethread.settings import DEFAULT_POLICIES, Policies
 from agatethread.wire.registry_pb2 import BackendRun
 
-#: Longest life of a flow; until then packets of an ended run's flows are reset.
+#: Time for which ended runs are kept, so that packets of their flows are reset.
 _ENDED_RETENTION_S = 60.0
 #: Labels of earlier runs that map to the newest run of an id. Bounds the memory for a
 #: backend server that restarts in a loop.
 _MAX_EARLIER_LABELS = 8
 
-#: Runs of a readmitted failure domain count as cold until all have reported again.
+#: Report intervals for which runs of a readmitted failure domain count as cold, so
+#: that each can report again.
 _READMISSION_REPORT_INTERVALS = 1.5
 
 log = make_logger("backends")
 
 
 class BackendView:
-    """Index of the known runs by id, label and service.
+    """Set of the known runs, by id, label and service.
 
     Parameters
     ----------
@@ -90,8 +91,9 @@
     def update_run(self, run: BackendRun) -> None:
         """Update a run from a message of a control instance.
 
-        Older runs and states are ignored, so messages of several control instances may
-        arrive in any order.
+        Earlier runs and lower sequence numbers are ignored, and draining and ended are
+        never taken back, so messages of several control instances may arrive in any
+        order.
 
         Parameters
         ----------
@@ -100,7 +102,7 @@
         """
         backend = self._by_id.get(run.id)
         if backend is None and not run.service:
-            # Only the end of the run is known, so it can't get flows.
+            # A message without a service tells only the end of a run.
             return
         if backend is not None and run.started_ms < backend.started_ms:
             return
@@ -118,7 +120,7 @@
         backend.updated_s = self._now_s()
         if run.draining and not backend.draining:
             backend.draining = True
-            self._log_change(backend, Event.RUN_DRAINING)
+            self._record_change(backend, Event.RUN_DRAINING)
         if run.ended and not backend.ended:
             self._mark_ended(backend)
             self._newly_ended.append(backend)
@@ -191,8 +193,8 @@
         Returns
         -------
         list of Backend
-            Without runs replaced by a later run of the same id, which may hold flows
-            that were placed on them.
+            Replaced runs are left out: the later run of the same id may have accepted
+            flows that were placed under their label.
         """
         ended, self._newly_ended = self._newly_ended, []
         return ended
@@ -203,29 +205,30 @@
         self._by_id[run.id] = backend
         existing = self._by_label.get(backend.label)
         if existing is not None and not existing.ended:
-            # All instances must exclude the same run.
+            # The run with the lower id is used, so that all instances decide alike.
             excluded = max(existing, backend, key=lambda candidate: candidate.id)
-            excluded.shares_label = True
+            excluded.is_label_taken = True
             log.error(Event.LABEL_SHARED, kept=existing.id, other=backend.id)
             if excluded is existing:
                 self._by_label[backend.label] = backend
         else:
             self._by_label[backend.label] = backend
         self._by_service.setdefault(backend.service, []).append(backend)
-        self._log_change(backend, Event.RUN_KNOWN)
+        self._record_change(backend, Event.RUN_KNOWN)
         return backend
 
     def _replace(self, earlier: Backend, run: BackendRun) -> Backend:
         """Replace a run by a later run of the same id.
 
-        The earlier label maps to the later run, because instances that don't know the
-        later run yet place flows on it under the earlier label. The backend server
-        resets flows that it does not hold.
+        The earlier label then maps to the later run. An instance that does not know the
+        later run still places flows under the earlier label; if both runs have the same
+        address, the later run accepts them. A run resets flows that it has no
+        connection for.
         """
         if not earlier.ended:
             self._mark_ended(earlier)
         if not run.service:
-            # Only the end of the later run is known.
+            # The message tells only the end of the later run.
             earlier.started_ms = run.started_ms
             return earlier
         labels = [*earlier.earlier_labels, earlier.label]
@@ -245,9 +248,10 @@
         backend.ended = True
         backend.ended_s = self._now_s()
         self._by_service[backend.service].remove(backend)
-        self._log_change(backend, Event.BACKEND_ENDED)
+        self._record_change(backend, Event.BACKEND_ENDED)
 
-    def _log_change(self, backend: Backend, event: Event) -> None:
+    def _record_change(self, backend: Backend, event: Event) -> None:
+        # The counter is named after the event.
         self._counters[event.replace(" ", "_")] += 1
         log.info(
             event,
@@ -276,7 +280,7 @@
                 backend.reporting = reporting
                 backend.reporting_changed_s = self._now_s()
                 event = Event.RUN_REPORTING if reporting else Event.RUN_SILENT
-                self._log_change(backend, event)
+                self._record_change(backend, event)
 
     def _delete(self, backend: Backend) -> None:
         del self._by_id[backend.id]
--- a/src/agatethread/datapath/_flows.py
+++ b/src/agatethread/datapath/_flows.py
@@ -1,7 +1,8 @@
 """Records of flows, from which the load and missing answers of runs are derived.
 
-Answers bypass the entry instance, so they are inferred from the callers' packets. A
-flow is forwarded by its label and does not need its record.
+Answers bypass the entry instance, so whether a run answered is inferred from the
+acknowledgements in callers' packets: an answer is anything sent by the run that a
+caller acknowledges. Packets are forwarded by label, also without a record of the flow.
 """
 
 from collections.abc import Collection
@@ -11,8 +12,10 @@
 from agatethread.datapath._packets import FlowKey, Packet
 from agatethread.observability import Histogram
 
-#: Flows may continue through another instance.
+#: A flow without packets for this long may have continued through another instance; its
+#: record is deleted.
 _IDLE_TIMEOUT_S = 15.0
+#: A request without packets for this long no longer counts as in progress.
 _REQUEST_TIMEOUT_S = 3.0
 #: A caller sends at most 16 packets of 1,200 bytes without an acknowledgement.
 _SEND_WINDOW_BYTES = 16 * 1_200
@@ -44,11 +47,14 @@
 
     def __init__(self, backend: Backend, now_s: float):
         self.backend = backend
-        #: Runs that did not answer the opening.
+        #: Earlier runs that got the opening and did not answer it.
         self.tried: tuple[Backend, ...] = ()
+        #: Whether a packet after the opening was seen.
         self.opened = False
-        #: Whether a request is counted as in progress.
+        #: Whether an opening or a request is counted as in progress.
         self.busy = False
+        #: Time of the latest opening, request, new send window or counted
+        #: retransmission.
         self.waiting_since_s = now_s
         self.last_packet_s = now_s
         #: Highest sequence numbers sent and acknowledged by the caller.
@@ -59,7 +65,7 @@
 
 
 class FlowLoads:
-    """Counts of flows and requests in progress for each run.
+    """Records of the flows of this instance; updates the counts of their runs.
 
     Parameters
     ----------
@@ -70,8 +76,8 @@
     def __init__(self, limit_count: int):
         self._limit_count = limit_count
         self._flows: dict[FlowKey, Flow] = {}
-        #: Runs that flows have waited for, see `runs_with_waiting_flows`.
-        self._waited_runs: set[Backend] = set()
+        #: Runs that may have waiting flows, see `runs_with_waiting_flows`.
+        self._runs_with_waiting_flows: set[Backend] = set()
         #: Set if the quality of answers is measured.
         self.answer_monitor: AnswerMonitor | None = None
         #: Time from an opening and from a request to the answer.
@@ -117,11 +123,12 @@
             if self.answer_monitor and flow.busy and not flow.opened:
                 self.answer_monitor.on_unanswered_opening(flow.backend)
             flow.tried += (flow.backend,)
-            self._move(flow, backend)
+            self._reassign(flow, backend)
         flow.waiting_since_s = now_s
         flow.last_packet_s = now_s
-        # A request follows the opening at once.
-        self._set_busy(flow, True)
+        # Counts the request that follows the opening already, so that the next
+        # openings of a burst are placed with regard to it.
+        self._set_in_progress(flow, True)
 
     def _add(self, key: FlowKey, backend: Backend, now_s: float) -> Flow | None:
         if len(self._flows) >= self._limit_count:
@@ -130,14 +137,15 @@
         backend.flows += 1
         return flow
 
-    def _move(self, flow: Flow, backend: Backend) -> None:
-        self._set_busy(flow, False)
+    def _reassign(self, flow: Flow, backend: Backend) -> None:
+        self._set_in_progress(flow, False)
         flow.backend.flows -= 1
         flow.backend = backend
         backend.flows += 1
 
     @staticmethod
-    def _set_busy(flow: Flow, busy: bool) -> None:
+    def _set_in_progress(flow: Flow, busy: bool) -> None:
+        """Set whether a request is in progress, also in the count of the run."""
         if flow.busy != busy:
             flow.busy = busy
             flow.backend.in_flight += 1 if busy else -1
@@ -158,7 +166,7 @@
         if flow is None:
             return
         if flow.backend is not backend:
-            self._move(flow, backend)
+            self._reassign(flow, backend)
         flow.last_packet_s = now_s
         if packet.closes or packet.resets:
             if self.answer_monitor:
@@ -173,7 +181,7 @@
     def _record_close(
         answer_monitor: AnswerMonitor, flow: Flow, packet: Packet, now_s: float
     ) -> None:
-        """Record the end of a flow and an answer that its last packet acknowledges."""
+        """Tell the monitor the end of a flow, and an answer acknowledged by its end."""
         previous = flow.acknowledged
         if previous is not None and _is_after(packet.acknowledged, previous):
             answer_bytes = (packet.acknowledged - previous) & _SEQUENCE_MASK
@@ -185,13 +193,14 @@
     def _record_answer(self, flow: Flow, packet: Packet, now_s: float) -> None:
         previous = flow.acknowledged
         if not flow.opened or previous is None:
-            self._record_first_packet(flow, packet, now_s)
+            self._record_first_after_opening(flow, packet, now_s)
             return
         if _is_after(packet.acknowledged, previous):
             flow.acknowledged = packet.acknowledged
             flow.backend.record_answer(now_s)
             if self.answer_monitor:
                 answer_bytes = (packet.acknowledged - previous) & _SEQUENCE_MASK
+                # With payload, the acknowledgement may have waited for that request.
                 is_prompt = not packet.payload_bytes
                 self.answer_monitor.on_answer(
                     packet.key, answer_bytes, is_prompt, now_s
@@ -200,14 +209,16 @@
                 took_s = now_s - flow.waiting_since_s
                 self.answer_s.record(took_s)
                 flow.backend.record_answer_time(took_s)
-            self._set_busy(flow, False)
+            self._set_in_progress(flow, False)
 
-    def _record_first_packet(self, flow: Flow, packet: Packet, now_s: float) -> None:
-        """Record the first packet after the opening, or of a flow that moved here.
+    def _record_first_after_opening(
+        self, flow: Flow, packet: Packet, now_s: float
+    ) -> None:
+        """Record the first packet after the opening that this instance sees.
 
         After an opening through this instance it shows that the opening was answered.
-        On a flow that moved here a request may be a copy of an unanswered one, so it
-        is no evidence of an answer.
+        On a flow that continues here from another instance a request may be a
+        retransmission of an unanswered one, so it is no evidence of an answer.
         """
         was_opened_here = flow.busy and not flow.opened
         if was_opened_here:
@@ -222,17 +233,18 @@
         if flow.highest_sent is not None and not _is_after(
             packet.sequence, flow.highest_sent
         ):
-            # A retransmission; all copies of a window count as one missing answer.
+            # All retransmissions of a send window count as one missing answer.
             if now_s - flow.waiting_since_s >= _MIN_RETRANSMIT_S:
                 flow.backend.add_waiting_flow(packet.key, flow.waiting_since_s)
-                self._waited_runs.add(flow.backend)
+                self._runs_with_waiting_flows.add(flow.backend)
                 flow.backend.record_failure(flow.waiting_since_s, now_s)
                 flow.waiting_since_s = now_s
             return
         is_first = flow.highest_sent is None
         flow.highest_sent = packet.sequence
+        # After an opening the flow is busy before its first request.
         if is_first or not flow.busy:
-            self._set_busy(flow, True)
+            self._set_in_progress(flow, True)
             flow.waiting_since_s = now_s
             flow.window_start = packet.sequence
             if self.answer_monitor:
@@ -240,7 +252,8 @@
         elif (
             packet.sequence - flow.window_start
         ) & _SEQUENCE_MASK >= _SEND_WINDOW_BYTES:
-            # More than a send window: the start of it must have been acknowledged.
+            # The caller has sent more than a send window, so the run has acknowledged
+            # the start of the window.
             flow.backend.record_answer(now_s)
             flow.waiting_since_s = now_s
             flow.window_start = packet.sequence
@@ -248,15 +261,17 @@
                 self.answer_monitor.on_request(packet.key, flow.backend, now_s)
 
     def runs_with_waiting_flows(self) -> set[Backend]:
-        """Return the runs that open flows wait for.
+        """Return the runs with flows that wait for an answer.
 
         Returns
         -------
         set of Backend
-            Runs that have not answered since.
+            Runs with flows in `Backend.waiting`.
         """
-        self._waited_runs = {run for run in self._waited_runs if run.waiting}
-        return set(self._waited_runs)
+        self._runs_with_waiting_flows = {
+            run for run in self._runs_with_waiting_flows if run.waiting
+        }
+        return set(self._runs_with_waiting_flows)
 
     def open_flows_of(self, runs: Collection[Backend]) -> list[tuple[FlowKey, Flow]]:
         """Return the open flows of some runs.
@@ -269,7 +284,7 @@
         Returns
         -------
         list of tuple of (FlowKey, Flow)
-            Flows that this instance has seen to be open.
+            Flows for which this instance has seen a packet after the opening.
         """
         return [
             (key, flow)
@@ -290,14 +305,14 @@
             self._remove(key, flow)
 
     def _remove(self, key: FlowKey, flow: Flow) -> None:
-        self._set_busy(flow, False)
+        self._set_in_progress(flow, False)
         flow.backend.flows -= 1
         del self._flows[key]
         if self.answer_monitor:
             self.answer_monitor.discard(key)
 
     def sweep(self, now_s: float) -> None:
-        """Delete the records of idle flows and expire unanswered requests.
+        """Delete the records of idle flows and stop counting old requests.
 
         Parameters
         ----------
@@ -308,4 +323,4 @@
             if now_s - flow.last_packet_s > _IDLE_TIMEOUT_S:
                 self._remove(key, flow)
             elif flow.busy and now_s - flow.last_packet_s > _REQUEST_TIMEOUT_S:
-                self._set_busy(flow, False)
+                self._set_in_progress(flow, False)
--- a/src/agatethread/datapath/_forwarder.py
+++ b/src/agatethread/datapath/_forwarder.py
@@ -1,8 +1,9 @@
 """Forwards packets, resets their flows or drops them.
 
-A reset is sent only if the run has ended or is unreachable, or if no run can take a
-new flow. A packet that the instance lacks the state for is dropped, and the caller
-retries.
+A flow is reset if its run has ended or is unreachable. An opening is reset if it has no
+route, if no run can take it or if a dispatcher refuses it. Packets are dropped if the
+instance lacks the state for them, if they go to a service that their route does not
+allow, and, for openings, if a run will soon be warm; callers send them again.
 """
 
 import random
@@ -28,7 +29,7 @@
 from agatethread.datapath._reachability import should_reset_flow
 from agatethread.datapath._shared_placing import SharedPlacing
 from agatethread.datapath._sightings import SightingExchange
-from agatethread.datapath._suspects import check_suspect, find_suspects
+from agatethread.datapath._suspects import find_suspects, mark_if_unreachable
 from agatethread.observability import Counters, Event, make_logger
 from agatethread.routing import (
     NO_ROUTES,
@@ -40,7 +41,8 @@
 from agatethread.settings import DEFAULT_POLICIES, Policies
 from agatethread.wire.registry_pb2 import Sighting
 
-#: A longer gap means that the process was suspended; timers tick every 0.2 s.
+#: A longer gap between two calls of `tick` means that the process was suspended. Timers
+#: call it every 0.2 s.
 _MAX_TICK_GAP_S = 1.0
 
 log = make_logger("forwarder")
@@ -54,7 +56,7 @@
     codec : PacketCodec
         Wire format of the packets.
     view : BackendView
-        Known backend servers.
+        Known runs.
     failure_domain : str
         Failure domain of this instance.
     send : callable
@@ -66,11 +68,11 @@
     flow_limit_count : int
         Maximum number of recorded flows.
     is_view_complete : callable
-        Returns whether every reporting backend server is known.
+        Returns whether every reporting run is known.
     policies : Policies, optional
         Policies for placing and resetting flows.
     cold : ColdLimits, optional
-        Limits for cold backend servers.
+        Limits for cold runs; gets the rates of each new routing table.
     """
 
     def __init__(
@@ -126,6 +128,8 @@
     def on_datagram(self, data: bytes, _: Address) -> None:
         """Handle one datagram of a caller.
 
+        The sender's address is not used, as the packet contains the caller's.
+
         Parameters
         ----------
         data : bytes
@@ -169,7 +173,7 @@
         tried: tuple[Backend, ...],
         now_s: float,
     ) -> None:
-        """Place an opening by the counts of this instance."""
+        """Place an opening by the flows that this instance has counted."""
         backend = place_flow(
             order_services(route.targets, service),
             self._view.runs_of_service,
@@ -180,7 +184,7 @@
             self._cold,
         )
         if backend is None:
-            self._reject_unplaced(packet, route, now_s)
+            self._reset_or_drop_opening(packet, route, now_s)
             return
         log_placement(packet, backend, tried, now_s, self.table.version)
         backend.start_trial(now_s)
@@ -192,7 +196,9 @@
             self._counters["openings_again"] += 1
 
     def place_locally(self, packet: Packet) -> None:
-        """Place an opening by the counts of this instance, without other instances.
+        """Place an opening that no dispatcher can place.
+
+        Only the flows that this instance has counted are considered.
 
         Parameters
         ----------
@@ -242,13 +248,16 @@
         """
         self._reset(packet, reason)
 
-    def _reject_unplaced(self, packet: Packet, route: Route, now_s: float) -> None:
-        """Reset an opening that no run can take in time; drop others for a retry."""
+    def _reset_or_drop_opening(
+        self, packet: Packet, route: Route, now_s: float
+    ) -> None:
+        """Reset an opening without a run, or drop it if its next copy may get one."""
         if not self._is_view_complete():
             self._drop(packet, "no_backend_known")
             return
         if has_run_warm_soon(route, self._view.runs_of_service, self._cold, now_s):
-            # After a reset the caller would retry within milliseconds, too early.
+            # After a reset the caller would retry within milliseconds, while the run is
+            # still cold.
             self._drop(packet, "backends_cold")
         else:
             self._reset(packet, "no_backend")
@@ -282,7 +291,7 @@
         self.shared_placing.on_packet(key, not is_over and flow.busy, is_over)
 
     def _should_reset_request(self, packet: Packet, backend: Backend) -> bool:
-        """Return whether a request should be retried on another flow.
+        """Return whether to reset the flow of a request, so that its caller retries it.
 
         Only on idempotent routes; on others the caller waits for a late answer.
         """
@@ -296,13 +305,13 @@
     def reset_flows_of_lost_runs(self) -> None:
         """Reset the open flows of runs that have ended or are unreachable.
 
-        Called several times a second, so that a flow is reset before its caller loses
-        the next request.
+        Called several times a second, so that an idle flow is reset before its caller
+        sends the next request on it.
         """
         now_s = self._now_s()
         lost = self._view.pop_newly_ended()
         for backend in self._suspects():
-            if not backend.is_marked_unreachable(now_s) and check_suspect(
+            if not backend.is_marked_unreachable(now_s) and mark_if_unreachable(
                 backend,
                 self._view,
                 self.sighting_exchange,
@@ -327,7 +336,7 @@
             self._reset(packet, reason)
 
     def sightings(self) -> list[Sighting]:
-        """Return the sightings of silent runs for other entry instances.
+        """Return the sightings for other entry instances; see `_sightings`.
 
         Returns
         -------
@@ -340,10 +349,10 @@
         return find_suspects(self.loads, self._view, self.sighting_exchange)
 
     def tick(self) -> None:
-        """Detect a suspension of the process; called several times a second."""
+        """Detect a suspension of the process; called by timers and per datagram."""
         now_s = self._now_s()
         if now_s - self._last_tick_s > _MAX_TICK_GAP_S:
-            # Answers missed in the meantime are no evidence against backend servers.
+            # Answers that were due in the meantime do not count as missing.
             self._running_since_s = now_s
         self._last_tick_s = now_s
 
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -51,21 +51,21 @@
     RoutingTable,
 )
 
-#: Two polls fit into the timeout of a control instance.
+#: Two polls fit into the 1 s after which a silent control instance counts as lost.
 _POLL_INTERVAL_S = 0.4
-_VIEW_UPDATE_INTERVAL_S = 0.2
-#: Bounds the delay of each step from a waiting flow to the decision of all instances.
+_STATE_INTERVAL_S = 0.2
+#: Interval at which an instance sends sightings and looks for unreachable runs.
 _SUSPECT_CHECK_INTERVAL_S = 0.1
-_URGENT_POLL_INTERVAL_S = 0.05
+_UNANSWERED_POLL_INTERVAL_S = 0.05
 _SWEEP_INTERVAL_S = 1.0
 _READINESS_CHECK_INTERVAL_S = 0.1
-#: Longest delay until an opening that can't be served in time is refused.
+#: Interval at which queued openings are placed or refused.
 _OPENING_QUEUE_INTERVAL_S = 0.05
-#: Time without answers from other failure domains; equals control instances' timeout.
+#: Time without answers from runs of other failure domains, if this one is cut off.
 _CUT_OFF_TIMEOUT_S = 1.0
 #: Never delays a packet.
 _UNPACED_BITS_PER_S = 1e12
-_TURN_POLL_INTERVAL_S = 0.1
+_LEAVING_POLL_INTERVAL_S = 0.1
 
 log = make_logger("entry")
 
@@ -83,7 +83,7 @@
     datagrams : str
         ``IP:port`` for callers' packets.
     registry : str
-        ``IP:port`` for messages of control instances.
+        ``IP:port`` for messages of control instances and other entry instances.
     seeds : tuple of bytes
         Packed registry addresses of some control instances.
     grace_s : float
@@ -95,15 +95,15 @@
     listen_host : str, optional
         Address to bind for registry messages if it is not the advertised one.
     report_interval_s : float, optional
-        Time between two reports of a backend server.
+        Time between two reports of a run.
     cold_overshoot : float, optional
-        Factor on the rate of a cold backend server.
+        Factor on the rate of cold runs, to get the limit.
     cold_slack_per_s : float, optional
-        Requests per second in addition to that.
+        New flows per second that are added to the limit.
     parts : Parts, optional
-        Enabled parts.
+        Optional functions that are enabled, such as relaying of openings.
     policies : Policies, optional
-        Policies of the instance.
+        Thresholds and switches of the instance.
     """
 
     name: str
@@ -198,13 +198,13 @@
                 policies,
             )
         self.answer_reporter = (
-            self._make_answer_reports() if settings.parts.judges_answers else None
+            self._make_answer_reporter() if settings.parts.judges_answers else None
         )
         self.subscription.presence = PRESENCE_AWAY
-        self._last_control_message_s = 0.0
+        self._last_delta_s = 0.0
         self.is_ready = False
 
-    def _make_answer_reports(self) -> AnswerReporter:
+    def _make_answer_reporter(self) -> AnswerReporter:
         return AnswerReporter(
             self.forwarder,
             self.view,
@@ -225,10 +225,10 @@
         self.timers.subscribe(_POLL_INTERVAL_S, self.subscription.poll)
         if self._settings.policies.asks_urgently:
             self.timers.subscribe(
-                _URGENT_POLL_INTERVAL_S, self.subscription.knock_urgently
+                _UNANSWERED_POLL_INTERVAL_S, self.subscription.knock_urgently
             )
-        self.timers.subscribe(_VIEW_UPDATE_INTERVAL_S, self._update_view)
-        self.timers.subscribe(_SUSPECT_CHECK_INTERVAL_S, self._check_suspects)
+        self.timers.subscribe(_STATE_INTERVAL_S, self._apply_control_state)
+        self.timers.subscribe(_SUSPECT_CHECK_INTERVAL_S, self._reset_and_report)
         self.timers.subscribe(_READINESS_CHECK_INTERVAL_S, self._check_ready)
         self.timers.subscribe(_SWEEP_INTERVAL_S, self._sweep)
         if self.forwarder.shared_placing:
@@ -263,14 +263,14 @@
         while not departure.may_leave(
             self.subscription.domain_view(departure.requested_s)
         ):
-            await asyncio.sleep(_TURN_POLL_INTERVAL_S)
+            await asyncio.sleep(_LEAVING_POLL_INTERVAL_S)
             self.subscription.poll()
         return self.timers.now_s() - departure.requested_s
 
     def _on_message(self, message: RegistryMessage, source: bytes) -> None:
         body = message.WhichOneof("body")
         if body == "delta":
-            self._last_control_message_s = self.timers.now_s()
+            self._last_delta_s = self.timers.now_s()
             self.subscription.on_delta(message.delta, source)
         elif body == "routes":
             self.subscription.on_chunk(message.routes, source)
@@ -286,7 +286,7 @@
     def _on_routes(self, table: RoutingTable) -> None:
         self.forwarder.apply_table(decode_table(table))
 
-    def _update_view(self) -> None:
+    def _apply_control_state(self) -> None:
         self.forwarder.tick()
         self.view.update_reporting(self.subscription.is_reporting)
         self._cold.rank = widest_rank(
@@ -313,7 +313,7 @@
             return False
         return is_cut_off(links, self.subscription.live(), domain)
 
-    def _check_suspects(self) -> None:
+    def _reset_and_report(self) -> None:
         self.forwarder.reset_flows_of_lost_runs()
         if not self._settings.policies.shares_sightings:
             return
@@ -333,7 +333,7 @@
             has_table=self.forwarder.table.version > 0,
             has_backends=len(self.view) > 0,
             is_complete=self.subscription.is_complete(),
-            last_control_message_s=self._last_control_message_s,
+            last_control_message_s=self._last_delta_s,
         )
         if ready != self.is_ready:
             log.info(
@@ -347,7 +347,7 @@
 
     def _update_presence(self) -> None:
         if self.subscription.presence == PRESENCE_LEAVING and self.is_ready:
-            return
+            return  # waits to leave, and still serves
         presence = PRESENCE_SERVING if self.is_ready else PRESENCE_AWAY
         if presence != self.subscription.presence:
             self.subscription.presence = presence
@@ -359,7 +359,7 @@
         Returns
         -------
         Measures
-            Values are read when metrics are exported.
+            Counters, gauges and histograms; their values are read at each export.
         """
         loads, shared = self.forwarder.loads, self.forwarder.shared_placing
         return Measures(
@@ -367,13 +367,11 @@
             {
                 "ready": lambda: float(self.is_ready),
                 "flows": lambda: float(len(loads)),
-                "waiting_bytes": lambda: float(self.sender.waiting_bytes),
+                "waiting_bytes": lambda: float(self.sender.queued_bytes),
                 "backends": lambda: float(len(self.view)),
                 "routes_version": lambda: float(self.forwarder.table.version),
                 "controls_in_sight": lambda: float(len(self.subscription.live())),
-                "control_silent_s": lambda: (
-                    self.timers.now_s() - self._last_control_message_s
-                ),
+                "control_silent_s": lambda: self.timers.now_s() - self._last_delta_s,
             }
             | (shared.gauges() if shared else {}),
             {"opening_s": loads.opening_s, "answer_s": loads.answer_s}
--- a/src/agatethread/datapath/_pacing.py
+++ b/src/agatethread/datapath/_pacing.py
@@ -1,8 +1,8 @@
 """Sends datagrams no faster than the rate of the instance's link.
 
-Handles uploads that arrive in bursts of 16 full packets, which overflow the queue of a
-slow link. Short packets (openings, requests, acknowledgements) go before full ones;
-full packets are sent round-robin over their flows.
+Handles uploads that arrive in bursts of 16 long packets, which overflow the queue of a
+slow link. Short packets (openings, requests, acknowledgements) go before long ones;
+long packets are sent round-robin over their flows.
 """
 
 from collections import OrderedDict, deque
@@ -12,17 +12,17 @@
 from agatethread.datapath._packets import Address, FlowKey
 from agatethread.observability import Counters
 
-#: The rest of the link rate is for control messages.
+#: Share of the link rate for callers' packets; the rest is for control messages.
 LINK_RATIO = 0.92
 #: UDP and IPv4 headers.
 _OVERHEAD_BYTES = 28
-#: Three full packets.
+#: Three packets of the largest size, with headers.
 _BURST_BYTES = 4_000
 #: Raises the burst on fast links.
 _BURST_S = 0.002
-#: Fits a request or an acknowledgement.
+#: Longest short packet; fits a request or an acknowledgement.
 _MAX_SHORT_BYTES = 600
-#: Keeps short packets from starving full ones.
+#: Keeps short packets from starving long ones.
 _MAX_CONSECUTIVE_SHORT = 8
 #: By then the caller has sent all copies of the packet (200, 600 and 1,400 ms).
 _MAX_WAIT_S = 1.5
@@ -77,11 +77,11 @@
         self._budget_bytes = self._burst_bytes
         self._refilled_s = now_s()
         self._short_queue: deque[_QueuedDatagram] = deque()
-        self._full_queues: OrderedDict[FlowKey, deque[_QueuedDatagram]] = OrderedDict()
+        self._long_queues: OrderedDict[FlowKey, deque[_QueuedDatagram]] = OrderedDict()
         self._queued_ids: set[tuple[FlowKey, int]] = set()
         self._consecutive_short_count = 0
         self._is_scheduled = False
-        self.waiting_bytes = 0
+        self.queued_bytes = 0
 
     def send(self, data: bytes, target: Address, key: FlowKey, sequence: int) -> None:
         """Send a datagram now, or queue it until the link rate permits.
@@ -95,11 +95,11 @@
         key : FlowKey
             Flow of the datagram.
         sequence : int
-            Sequence number in the flow; a full packet is not queued twice.
+            Sequence number in the flow; a copy of a queued long packet is dropped.
         """
         self._refill()
         size_bytes = len(data) + _OVERHEAD_BYTES
-        if not self.waiting_bytes and self._budget_bytes >= size_bytes:
+        if not self.queued_bytes and self._budget_bytes >= size_bytes:
             self._budget_bytes -= size_bytes
             self._send(data, target)
             return
@@ -110,17 +110,17 @@
         if not is_short and datagram.packet_id in self._queued_ids:
             self._counters["paced_copy_dropped"] += 1
             return
-        if self.waiting_bytes + len(datagram.data) > _MAX_QUEUED_BYTES:
+        if self.queued_bytes + len(datagram.data) > _MAX_QUEUED_BYTES:
             self._counters["paced_dropped_full"] += 1
             return
         if is_short:
             self._short_queue.append(datagram)
         else:
             self._queued_ids.add(datagram.packet_id)
-            self._full_queues.setdefault(datagram.packet_id[0], deque()).append(
+            self._long_queues.setdefault(datagram.packet_id[0], deque()).append(
                 datagram
             )
-        self.waiting_bytes += len(datagram.data)
+        self.queued_bytes += len(datagram.data)
         self._counters["paced"] += 1
         self._schedule_drain()
 
@@ -131,7 +131,7 @@
         self._refilled_s = now_s
 
     def _schedule_drain(self) -> None:
-        if self._is_scheduled or not self.waiting_bytes:
+        if self._is_scheduled or not self.queued_bytes:
             return
         self._is_scheduled = True
         missing_bytes = self._next_size_bytes() - self._budget_bytes
@@ -145,10 +145,10 @@
     def _peek(self) -> _QueuedDatagram:
         if self._is_short_next():
             return self._short_queue[0]
-        return next(iter(self._full_queues.values()))[0]
+        return next(iter(self._long_queues.values()))[0]
 
     def _is_short_next(self) -> bool:
-        if not self._full_queues:
+        if not self._long_queues:
             return True
         return (
             bool(self._short_queue)
@@ -161,21 +161,21 @@
             datagram = self._short_queue.popleft()
         else:
             self._consecutive_short_count = 0
-            key, queue = next(iter(self._full_queues.items()))
+            key, queue = next(iter(self._long_queues.items()))
             datagram = queue.popleft()
             self._queued_ids.discard(datagram.packet_id)
             if queue:
-                self._full_queues.move_to_end(key)
+                self._long_queues.move_to_end(key)
             else:
-                del self._full_queues[key]
-        self.waiting_bytes -= len(datagram.data)
+                del self._long_queues[key]
+        self.queued_bytes -= len(datagram.data)
         return datagram
 
     def _drain(self) -> None:
         self._is_scheduled = False
         self._refill()
         now_s = self._now_s()
-        while self.waiting_bytes:
+        while self.queued_bytes:
             if now_s - self._peek().queued_s > _MAX_WAIT_S:
                 self._dequeue()
                 self._counters["paced_dropped_late"] += 1
--- a/src/agatethread/datapath/_packets.py
+++ b/src/agatethread/datapath/_packets.py
@@ -7,12 +7,15 @@
 from typing import NamedTuple
 
 Address = tuple[str, int]
-#: Address and port of the caller, then of the service.
+#: Address and port of the caller, then those that it sent the flow to.
 _FLOW_STRUCT = Struct("!IHIH")
 
 
 class FlowKey(NamedTuple):
-    """Addresses and ports of a flow as integers."""
+    """Addresses and ports of a flow as integers.
+
+    `host` and `port` are the address and port that the caller sent the flow to.
+    """
 
     caller: int
     caller_port: int
@@ -67,25 +70,28 @@
     key: FlowKey
     #: Whether it opens a flow.
     opens: bool
-    #: 0 for the first opening; increases with each copy.
+    #: 0 for the opening itself, n for its n-th copy.
     copy: int
     closes: bool
     resets: bool
+    #: Sequence number of the first payload byte.
     sequence: int
+    #: Sequence number up to which the caller has received the run's bytes; in an
+    #: opening the same as `copy`.
     acknowledged: int
     payload_bytes: int
     data: bytes
 
 
 def make_caller_packet(key: FlowKey, label: int, acknowledged: int) -> Packet:
-    """Return a packet in place of the caller's last one, for a reset.
+    """Return a minimal packet from which `encode_reset` can make a reset.
 
     Parameters
     ----------
     key : FlowKey
         The flow.
     label : int
-        Label of the run that holds the flow.
+        Label of the run that the flow was placed on.
     acknowledged : int
         Last sequence number acknowledged by the caller.
 
--- a/src/agatethread/datapath/_placing.py
+++ b/src/agatethread/datapath/_placing.py
@@ -67,7 +67,7 @@
     """
     if backend.draining or backend.evacuated:
         return True
-    return backend.ended or backend.shares_label
+    return backend.ended or backend.is_label_taken
 
 
 def may_be_alive(
--- a/src/agatethread/datapath/_reachability.py
+++ b/src/agatethread/datapath/_reachability.py
@@ -2,8 +2,8 @@
 
 Handles a backend server with many long flows that crashes or is cut off. After a reset
 a caller retries its request on another flow at once, instead of waiting for its
-timeout. A reset of a live flow costs a request, so a run is unreachable only if it is
-silent while other runs answer.
+timeout. A reset while the run can still answer costs a request, so a run is unreachable
+only if it is silent while other runs answer.
 """
 
 from collections.abc import Iterable
@@ -15,23 +15,25 @@
 
 #: A single flow may have lost its packets on the caller's path.
 _MIN_WAITING_FLOWS = 3
-#: An overloaded server refuses within milliseconds, and one with a full queue of slow
-#: requests still answers some caller several times in this period.
+#: Time without answers after which a run is unreachable. An overloaded run answers some
+#: caller several times in this period.
 _MIN_SILENCE_S = 0.8
 #: With strong evidence from several instances, this multiple of the usual answer time
-#: is enough, within these bounds. A run that slows to half a second keeps its flows.
+#: is enough; at least `_MIN_SILENCE_STRONG_S`, and at most `_MIN_SILENCE_S`.
 _USUAL_ANSWER_FACTOR = 10.0
-_MIN_SHARED_SILENCE_S = 0.6
+#: A run that slows down to half a second keeps its flows.
+_MIN_SILENCE_STRONG_S = 0.6
 #: Waiting flows and instances that count as strong evidence.
 _STRONG_WAITING_FLOWS = 4
 _STRONG_OBSERVERS = 3
-#: A recent answer of another run shows that packets of callers and of this instance
-#: arrive.
+#: Age up to which an answer of another run shows that callers reach this instance, and
+#: this instance reaches runs.
 _RECENT_ANSWER_S = 0.5
-#: Required beside too little own evidence: the fault may be in a single instance.
+#: Required if fewer than `_MIN_WAITING_FLOWS` flows wait at this instance, as the fault
+#: may be in a single instance.
 _MIN_OBSERVERS = 2
-#: Required without own evidence: a run cut off from one failure domain may be
-#: reachable from others.
+#: Required if no flow waits at this instance, as a run that is cut off from one failure
+#: domain may be reachable from others.
 _MIN_DOMAINS = 2
 
 log = make_logger("silence")
@@ -46,7 +48,8 @@
     waiting : int
         Open flows that wait for the run.
     silent_s : float
-        Time without an answer at any instance.
+        Longest wait at any instance, but at most the time since the last answer that
+        an instance reported.
     observers : int
         Instances with waiting flows.
     domains : int
@@ -85,7 +88,7 @@
     return has_ended or is_idempotent or not is_busy
 
 
-def is_unreachable(
+def detect_unreachable(
     backend: Backend,
     runs: Iterable[Backend],
     now_s: float,
@@ -95,6 +98,9 @@
 ) -> bool:
     """Return whether a run is silent while other runs of its service answer.
 
+    Logs it if so. Clears the waiting flows of the run if they may wait because this
+    process was suspended.
+
     Parameters
     ----------
     backend : Backend
@@ -116,11 +122,12 @@
         Whether the run is unreachable.
     """
     if backend.waiting and backend.waiting_since_s < running_since_s:
-        # The delay was caused by the suspension of this process.
+        # The suspension of this process may have caused the delay.
         backend.waiting.clear()
         return False
     silent_s = _observed_silence_s(backend, now_s, pooled)
     required_s = _required_silence_s(backend, pooled, policies)
+    # Silence that began before the last suspension does not count.
     if silent_s < required_s or now_s - running_since_s < silent_s:
         return False
     answering = _find_recently_answering(backend, runs, now_s)
@@ -149,7 +156,7 @@
     if not (policies.judges_by_answer_time and is_strong and backend.usual_answer_s):
         return _MIN_SILENCE_S
     usual_s = _USUAL_ANSWER_FACTOR * backend.usual_answer_s
-    return min(max(usual_s, _MIN_SHARED_SILENCE_S), _MIN_SILENCE_S)
+    return min(max(usual_s, _MIN_SILENCE_STRONG_S), _MIN_SILENCE_S)
 
 
 def _observed_silence_s(
@@ -164,7 +171,7 @@
     if not backend.waiting and pooled.domains < _MIN_DOMAINS:
         return 0.0
     silent_s = max(own_s, pooled.silent_s)
-    # An answer seen here takes precedence over sightings of others.
+    # An answer seen here within that time takes precedence over sightings of others.
     return silent_s if now_s - backend.last_answer_s >= silent_s else 0.0
 
 
--- a/src/agatethread/datapath/_readiness.py
+++ b/src/agatethread/datapath/_readiness.py
@@ -4,9 +4,10 @@
 
 from agatethread.settings import DEFAULT_POLICIES, Policies
 
-#: A longer gap between two checks means that the process was suspended.
+#: A longer gap between two checks means that the process was suspended long enough for
+#: its state to be outdated.
 _MAX_CHECK_GAP_S = 2.0
-#: Time after the start from which it serves with an incomplete list of backend servers.
+#: Time after the start from which the instance serves with an incomplete list of runs.
 _MAX_INCOMPLETE_S = 4.0
 
 
@@ -24,12 +25,12 @@
     def __init__(
         self, now_s: Callable[[], float], policies: Policies = DEFAULT_POLICIES
     ):
-        self._relearn_wait_s = policies.relearn_wait_s
+        self._resume_wait_s = policies.relearn_wait_s
         self._now_s = now_s
         self._started_s = now_s()
         self._last_check_s = self._started_s
-        self._relearn_until_s = 0.0
-        self._was_ready = False
+        self._resume_until_s = 0.0
+        self._has_been_ready = False
         self.stopping = False
 
     def check(
@@ -46,11 +47,11 @@
         has_table : bool
             Whether there is a routing table.
         has_backends : bool
-            Whether any backend server is known.
+            Whether any run is known.
         is_complete : bool
-            Whether all reporting backend servers are known.
+            Whether all reporting runs are known.
         last_control_message_s : float
-            Time of the last message from a control instance.
+            Time of the last delta (update of runs) from a control instance.
 
         Returns
         -------
@@ -59,15 +60,15 @@
         """
         now_s = self._now_s()
         if now_s - self._last_check_s > _MAX_CHECK_GAP_S:
-            self._relearn_until_s = now_s + self._relearn_wait_s
-        resumed_s = self._relearn_until_s - self._relearn_wait_s
+            self._resume_until_s = now_s + self._resume_wait_s
+        resumed_s = self._resume_until_s - self._resume_wait_s
         self._last_check_s = now_s
         if self.stopping or not has_table or not has_backends:
             return False
-        if self._was_ready:
+        if self._has_been_ready:
             # The state from before the suspension may be outdated.
-            return now_s >= self._relearn_until_s or last_control_message_s > resumed_s
+            return now_s >= self._resume_until_s or last_control_message_s > resumed_s
         if not is_complete and now_s - self._started_s < _MAX_INCOMPLETE_S:
             return False
-        self._was_ready = True
+        self._has_been_ready = True
         return True
--- a/src/agatethread/datapath/_sightings.py
+++ b/src/agatethread/datapath/_sightings.py
@@ -1,4 +1,8 @@
-"""Sightings of silent runs, exchanged with other entry instances."""
+"""Sightings, exchanged with other entry instances through control instances.
+
+A sighting tells how many flows of a run wait for an answer at an instance, and for how
+long; or that none do, and when the run last answered there.
+"""
 
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass
@@ -7,9 +11,9 @@
 from agatethread.datapath._reachability import NO_POOLED_SIGHTING, PooledSighting
 from agatethread.wire.registry_pb2 import Sighting, Sightings
 
-#: Control instances repeat sightings every 0.1 s; some messages may be lost.
+#: Control instances repeat sightings every 0.1 s; single messages may be lost.
 _SIGHTING_TIMEOUT_S = 0.6
-#: Fits the 32 bits of the message field.
+#: Longest silence that is reported; keeps the milliseconds within 32 bits.
 _MAX_SILENCE_S = 3_600.0
 
 
@@ -20,7 +24,7 @@
 
 
 class SightingExchange:
-    """Sightings received and sent by this instance, by label.
+    """Stores received sightings by label, and makes those to send.
 
     Parameters
     ----------
@@ -31,11 +35,11 @@
     def __init__(self, now_s: Callable[[], float]):
         self._now_s = now_s
         self._received: dict[int, _ReceivedSighting] = {}
-        #: Time at which this instance last reported waiting flows of a run.
-        self._reported_s: dict[int, float] = {}
+        #: Time of the last report of waiting flows by this instance, by label.
+        self._last_report_times: dict[int, float] = {}
 
     def receive(self, sightings: Sightings) -> None:
-        """Store the pooled sightings of a control instance.
+        """Store the combined sightings from a control instance.
 
         Parameters
         ----------
@@ -53,7 +57,7 @@
             self._received[sighting.label] = _ReceivedSighting(now_s, pooled)
 
     def get_pooled(self, backend: Backend) -> PooledSighting:
-        """Return the current pooled sighting of a run.
+        """Return the current combined sighting of a run.
 
         Parameters
         ----------
@@ -87,12 +91,12 @@
             for label, received in self._received.items()
             if received.received_s >= oldest_s
         }
-        self._reported_s = {
+        self._last_report_times = {
             label: reported_s
-            for label, reported_s in self._reported_s.items()
+            for label, reported_s in self._last_report_times.items()
             if reported_s >= oldest_s
         }
-        return [*self._received, *self._reported_s]
+        return [*self._received, *self._last_report_times]
 
     def make_sightings(self, backends: Iterable[Backend]) -> list[Sighting]:
         """Return the sightings to send to control instances.
@@ -105,28 +109,31 @@
         Returns
         -------
         list of Sighting
-            Runs that flows wait for here, and runs that have answered here while flows
-            wait for them at other instances.
+            Runs that flows wait for here, runs that flows no longer wait for here, and
+            runs that have answered here while flows wait for them at other instances.
         """
         now_s = self._now_s()
         sightings = []
         for backend in backends:
             if backend.waiting:
-                self._reported_s[backend.label] = now_s
+                self._last_report_times[backend.label] = now_s
                 silent_s = now_s - backend.waiting_since_s
                 sightings.append(
                     _make_sighting(backend, len(backend.waiting), silent_s)
                 )
-            elif self._contradicts_others(backend, now_s):
+            elif self._should_report_answer(backend, now_s):
                 last_answer_ago_s = now_s - backend.last_answer_s
                 sightings.append(_make_sighting(backend, 0, last_answer_ago_s))
         return sightings
 
-    def _contradicts_others(self, backend: Backend, now_s: float) -> bool:
-        """Return whether an answer here contradicts the sightings of others."""
+    def _should_report_answer(self, backend: Backend, now_s: float) -> bool:
+        """Return whether to report that no flow waits for a run here.
+
+        Withdraws an earlier report of this instance, or contradicts others' sightings.
+        """
         if backend.unreachable:
             return False
-        if backend.label in self._reported_s:
+        if backend.label in self._last_report_times:
             # Flows reported by this instance no longer wait.
             return True
         pooled = self.get_pooled(backend)
@@ -134,6 +141,7 @@
 
 
 def _make_sighting(backend: Backend, waiting: int, silent_s: float) -> Sighting:
-    # For a run that never answered, the silence starts with the clock.
+    """Return a sighting; `silent_s` is the wait, or the age of the last answer."""
+    # If the run never answered, the silence is the value of the clock.
     silent_ms = round(min(silent_s, _MAX_SILENCE_S) * 1000)
     return Sighting(label=backend.label, waiting=waiting, silent_ms=silent_ms)
--- a/tests/datapath/test_pacing.py
+++ b/tests/datapath/test_pacing.py
@@ -123,7 +123,7 @@
         for _, _, call in timers:
             call()
         self.assertEqual(len(link.delivered), sent)
-        self.assertEqual(link.sender.waiting_bytes, 0)
+        self.assertEqual(link.sender.queued_bytes, 0)
 
     @given(
         st.lists(
@@ -144,7 +144,7 @@
             link.send(flow, sequence, size)
             until_s += pause_s
             link.run_until(until_s)
-            self.assertLessEqual(link.sender.waiting_bytes, 256 << 10)
+            self.assertLessEqual(link.sender.queued_bytes, 256 << 10)
         link.run_until(until_s + 10.0)
         counted = sum(
             link.counters[name]
@@ -155,4 +155,4 @@
             )
         )
         sent = len(link.delivered) + link.dropped + counted
-        self.assertEqual((sent, link.sender.waiting_bytes), (len(steps), 0))
+        self.assertEqual((sent, link.sender.queued_bytes), (len(steps), 0))
--- a/tests/datapath/test_placing.py
+++ b/tests/datapath/test_placing.py
@@ -117,7 +117,7 @@
 
     def test_rejects_unreachable_run_known_to_have_ended(self):
         """Ended, draining and ambiguous runs are not tried."""
-        for state in ("ended", "draining", "shares_label"):
+        for state in ("ended", "draining", "is_label_taken"):
             self.setUp()
             self.stop_reports(self.other_run)
             setattr(self.other_run, state, True)
--- a/tests/datapath/test_policies.py
+++ b/tests/datapath/test_policies.py
@@ -12,7 +12,7 @@
     choose_backend,
 )
 from agatethread.datapath._placing import place_flow
-from agatethread.datapath._reachability import PooledSighting, is_unreachable
+from agatethread.datapath._reachability import PooledSighting, detect_unreachable
 from agatethread.observability import Counters
 from agatethread.registry import DomainView
 from agatethread.settings import DEFAULT_POLICIES, switch_off
@@ -126,9 +126,9 @@
             silent.add_waiting_flow(number, 11.0)
         pooled = PooledSighting(waiting=6, silent_s=0.7, observers=4, domains=2)
         arguments = (silent, [silent, other], 11.7, 0.0, pooled)
-        self.assertTrue(is_unreachable(*arguments))
+        self.assertTrue(detect_unreachable(*arguments))
         off = without("judges_by_answer_time")
-        self.assertFalse(is_unreachable(*arguments, policies=off))
+        self.assertFalse(detect_unreachable(*arguments, policies=off))
 
 
 class TestDepartureWithout(unittest.TestCase):
@@ -180,7 +180,7 @@
             entry.subscription.tell = reports.append
             backend = Backend(run(1))
             entry.forwarder.sightings = lambda sighting=backend: [sighting]
-            entry._check_suspects()
+            entry._reset_and_report()
             with self.subTest(off=name):
                 self.assertEqual(bool(reports), is_reported)
 
@@ -190,7 +190,7 @@
         for number in range(200):
             key = packet(number).key
             entry.sender.send(b"x" * 1_200, ("127.0.0.1", 9), key, number)
-        self.assertEqual(entry.sender.waiting_bytes, 0)
+        self.assertEqual(entry.sender.queued_bytes, 0)
 
     async def test_urgent_asks(self):
         """Control instances are polled at the poll interval only."""
--- a/tests/datapath/test_reachability.py
+++ b/tests/datapath/test_reachability.py
@@ -5,7 +5,7 @@
 from unittest import mock
 
 from agatethread.datapath import Backend, BackendView, LabelForwarder, label_of
-from agatethread.datapath._reachability import is_unreachable
+from agatethread.datapath._reachability import detect_unreachable
 from agatethread.observability import Counters
 from agatethread.routing import Route, RouteTable, Target
 from tests.datapath.fixtures import CODEC, HOST, opening, packet, run
@@ -18,7 +18,7 @@
         self.silent.record_answer(10.0)
 
     def judge(self, now_s, running_since_s=0.0):
-        return is_unreachable(
+        return detect_unreachable(
             self.silent, [self.silent, self.other], now_s, running_since_s
         )
 
@@ -236,7 +236,7 @@
     def test_resets_reduce_failed_requests(self):
         """Most requests on flows of a crashed run are answered by other runs."""
         with_resets = CallerSimulation(crashes_at_10).play(20.0)
-        with mock.patch("agatethread.datapath._suspects.is_unreachable") as judge:
+        with mock.patch("agatethread.datapath._suspects.detect_unreachable") as judge:
             judge.return_value = False
             baseline = CallerSimulation(crashes_at_10).play(20.0)
         self.assertGreater(baseline.failed, 12)
--- a/tests/datapath/test_sightings.py
+++ b/tests/datapath/test_sightings.py
@@ -1,7 +1,7 @@
 import unittest
 
 from agatethread.datapath import Backend, FlowLoads, label_of
-from agatethread.datapath._reachability import PooledSighting, is_unreachable
+from agatethread.datapath._reachability import PooledSighting, detect_unreachable
 from agatethread.datapath._sightings import SightingExchange
 from agatethread.registry import SightingPool
 from agatethread.wire.registry_pb2 import Sighting, Sightings
@@ -25,7 +25,7 @@
         self.other.record_answer(11.9)
 
     def judge(self, pooled, now_s=12.0, running_since_s=0.0):
-        return is_unreachable(
+        return detect_unreachable(
             self.silent, [self.silent, self.other], now_s, running_since_s, pooled
         )
 
