--- a/src/agatethread/datapath/_backend.py
+++ b/src/agatethread/datapath/_backend.py
@@ -9,9 +9,9 @@
 
 #: Consecutive missing answers to openings or requests from which a run is avoided. A
 #: single one may be due to a lost packet or a full queue.
-_PENALTY_MIN_FAILURES = 2
+_AVOIDANCE_MIN_FAILURES = 2
 #: Longer than the 200 ms after which a caller sends the first copy of an opening.
-_INITIAL_PENALTY_S = 0.5
+_INITIAL_AVOIDANCE_S = 0.5
 #: Time between two openings to an avoided run. Longer than the 200 ms after which a
 #: caller sends the first copy of an opening.
 _TRIAL_INTERVAL_S = 0.3
@@ -55,7 +55,7 @@
         "id",
         "in_flight",
         "label",
-        "longest_avoidance_s",
+        "_max_avoidance_s",
         "number",
         "penalty_until_s",
         "reporting",
@@ -77,7 +77,7 @@
     )
 
     def __init__(self, run: BackendRun, policies: Policies = DEFAULT_POLICIES):
-        self.longest_avoidance_s = policies.longest_avoidance_s
+        self._max_avoidance_s = policies.longest_avoidance_s
         self.id = run.id
         self.number = run.number
         self.started_ms = run.started_ms
@@ -226,10 +226,10 @@
             return
         self.last_unanswered_s = now_s
         self.failures += 1
-        excess_count = self.failures - _PENALTY_MIN_FAILURES
+        excess_count = self.failures - _AVOIDANCE_MIN_FAILURES
         if excess_count < 0:
             return
-        pause_s = self._penalize(_INITIAL_PENALTY_S * 2 ** min(excess_count, 8), now_s)
+        pause_s = self._avoid(_INITIAL_AVOIDANCE_S * 2 ** min(excess_count, 8), now_s)
         log.info(
             Event.BACKEND_AVOIDED,
             run=self.id,
@@ -238,9 +238,9 @@
             pause_s=pause_s,
         )
 
-    def _penalize(self, pause_s: float, now_s: float) -> float:
+    def _avoid(self, pause_s: float, now_s: float) -> float:
         """Avoid the run for a limited pause, and return the pause."""
-        pause_s = min(pause_s, self.longest_avoidance_s)
+        pause_s = min(pause_s, self._max_avoidance_s)
         self.penalty_until_s = now_s + pause_s
         return pause_s
 
@@ -262,9 +262,9 @@
         # The caller of this method resets these flows, except for requests that can't
         # be retried.
         self.waiting.clear()
-        self.failures = max(self.failures, _PENALTY_MIN_FAILURES)
-        if self.penalty_until_s < now_s + _INITIAL_PENALTY_S:
-            self._penalize(_INITIAL_PENALTY_S, now_s)
+        self.failures = max(self.failures, _AVOIDANCE_MIN_FAILURES)
+        if self.penalty_until_s < now_s + _INITIAL_AVOIDANCE_S:
+            self._avoid(_INITIAL_AVOIDANCE_S, now_s)
 
     def start_trial(self, now_s: float) -> None:
         """Avoid the run while the opening that was just placed on it may be answered.
@@ -276,5 +276,5 @@
         now_s : float
             Current time.
         """
-        if self.failures >= _PENALTY_MIN_FAILURES:
-            self._penalize(_TRIAL_INTERVAL_S, now_s)
+        if self.failures >= _AVOIDANCE_MIN_FAILURES:
+            self._avoid(_TRIAL_INTERVAL_S, now_s)
--- a/src/agatethread/datapath/_forwarder.py
+++ b/src/agatethread/datapath/_forwarder.py
@@ -286,6 +286,7 @@
             self._drop(packet, outcome.value)
 
     def _report_relayed_packet(self, key: FlowKey) -> None:
+        """Report the state of a flow; one without a record counts as over."""
         flow = self.loads.get_flow(key)
         is_over = flow is None
         self.shared_placing.on_packet(key, not is_over and flow.busy, is_over)
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -53,7 +53,7 @@
 
 #: Two polls fit into the 1 s after which a silent control instance counts as lost.
 _POLL_INTERVAL_S = 0.4
-_STATE_INTERVAL_S = 0.2
+_CONTROL_STATE_INTERVAL_S = 0.2
 #: Interval at which an instance sends sightings and looks for unreachable runs.
 _SUSPECT_CHECK_INTERVAL_S = 0.1
 _UNANSWERED_POLL_INTERVAL_S = 0.05
@@ -61,7 +61,7 @@
 _READINESS_CHECK_INTERVAL_S = 0.1
 #: Interval at which queued openings are placed or refused.
 _OPENING_QUEUE_INTERVAL_S = 0.05
-#: Time without answers from runs of other failure domains, if this one is cut off.
+#: Without answers from other failure domains for this long, this one may be cut off.
 _CUT_OFF_TIMEOUT_S = 1.0
 #: Never delays a packet.
 _UNPACED_BITS_PER_S = 1e12
@@ -227,7 +227,7 @@
             self.timers.subscribe(
                 _UNANSWERED_POLL_INTERVAL_S, self.subscription.knock_urgently
             )
-        self.timers.subscribe(_STATE_INTERVAL_S, self._apply_control_state)
+        self.timers.subscribe(_CONTROL_STATE_INTERVAL_S, self._apply_control_state)
         self.timers.subscribe(_SUSPECT_CHECK_INTERVAL_S, self._reset_and_report)
         self.timers.subscribe(_READINESS_CHECK_INTERVAL_S, self._check_ready)
         self.timers.subscribe(_SWEEP_INTERVAL_S, self._sweep)
@@ -333,7 +333,7 @@
             has_table=self.forwarder.table.version > 0,
             has_backends=len(self.view) > 0,
             is_complete=self.subscription.is_complete(),
-            last_control_message_s=self._last_delta_s,
+            last_delta_s=self._last_delta_s,
         )
         if ready != self.is_ready:
             log.info(
--- a/src/agatethread/datapath/_readiness.py
+++ b/src/agatethread/datapath/_readiness.py
@@ -38,7 +38,7 @@
         has_table: bool,
         has_backends: bool,
         is_complete: bool,
-        last_control_message_s: float,
+        last_delta_s: float,
     ) -> bool:
         """Return whether the instance is ready to get packets.
 
@@ -50,7 +50,7 @@
             Whether any run is known.
         is_complete : bool
             Whether all reporting runs are known.
-        last_control_message_s : float
+        last_delta_s : float
             Time of the last delta (update of runs) from a control instance.
 
         Returns
@@ -67,7 +67,7 @@
             return False
         if self._has_been_ready:
             # The state from before the suspension may be outdated.
-            return now_s >= self._resume_until_s or last_control_message_s > resumed_s
+            return now_s >= self._resume_until_s or last_delta_s > resumed_s
         if not is_complete and now_s - self._started_s < _MAX_INCOMPLETE_S:
             return False
         self._has_been_ready = True
--- a/tests/datapath/fixtures.py
+++ b/tests/datapath/fixtures.py
@@ -19,7 +19,7 @@
 
 
 def run(index=1, **fields):
-    """Return a run of the tab service."""
+    """Return a run of the service named tab."""
     values = {
         "id": f"i-{index:x}",
         "number": index,
@@ -33,7 +33,7 @@
 
 
 def packet(caller_port=1, number=0, **fields):
-    """Return a packet of a flow; `number` is the run of an open flow."""
+    """Return a packet of a flow; `number` is that of its run, or 0 for none."""
     values = {
         "label": label_of(number) if number else 0,
         "key": FlowKey(1, caller_port, HOST, 443),
@@ -54,7 +54,7 @@
     return packet(caller_port, opens=True, copy=copy, acknowledged=copy, **fields)
 
 
-#: Decodes nothing, and encodes tuples in place of datagrams.
+#: Codec for tests: received datagrams are packets, and sent ones are tuples.
 CODEC = PacketCodec(
     decode=lambda data: data,
     encode_for_backend=lambda decoded, label, number: ("forward", number, label),
@@ -94,7 +94,7 @@
         )
 
     def handle(self, datagram):
-        """Handle a packet and return the datagrams sent."""
+        """Handle a packet and return the first two fields of each datagram sent."""
         self.sent.clear()
         self.forwarder.on_datagram(datagram, ("router", 1))
         return [data[:2] for data, _ in self.sent]
--- a/tests/datapath/test_departure.py
+++ b/tests/datapath/test_departure.py
@@ -10,8 +10,8 @@
 )
 from tests.fakes import Clock, address
 
-#: Times of the platform: from the end of a process to the start of the next one, from
-#: there to ready, and until routers send to it again.
+#: Assumed times of the platform: from the end of a process to the start of the next
+#: one, from there to ready, and from the start until routers send to it again.
 DOWN_S, READY_S, ROTATION_S = 0.85, 0.1, 0.6
 GRACE_S = 6.0
 
@@ -43,13 +43,13 @@
         self.assertTrue(self.departure.may_leave(DomainView(2, 2, 0)))
 
     def test_wait_is_limited_by_grace_time(self):
-        """The notice and the shutdown fit into the grace time."""
+        """The notice (1.2 s) and the shutdown (0.8 s) fit into the grace time."""
         departure = Departure(self.clock, 2.5)
         self.clock.value_s += 2.5 - 1.2 - 0.8
         self.assertTrue(departure.may_leave(DomainView(2, 2, 0)))
 
     def test_leaves_without_control_instance(self):
-        """The instance leaves after the timeout of control instances."""
+        """The instance leaves after 0.3 s without an answer of a control instance."""
         self.assertFalse(self.departure.may_leave(None))
         self.clock.value_s += 0.35
         self.assertTrue(self.departure.may_leave(None))
@@ -58,22 +58,23 @@
 class Entry:
     """An entry instance that restarts once, with a real subscription and departure."""
 
-    def __init__(self, world, number, stop_s):
-        self.world, self.number, self.stop_s = world, number, stop_s
+    def __init__(self, case, number, stop_s):
+        self.case, self.number, self.stop_s = case, number, stop_s
         self.address = address(number)
         self.departure = None
+        # Times at which it becomes not ready, ends and runs again.
         self.leaves_s = self.ends_s = self.up_s = float("inf")
         self.restart()
 
     def restart(self):
-        world = self.world
+        case = self.case
         self.subscription = Subscription(
             "a",
             False,
             [address(90)],
             self.address,
-            lambda message, _: world.hub.on_poll(message.poll, self.address),
-            world.clock,
+            lambda message, _: case.hub.on_poll(message.poll, self.address),
+            case.clock,
             lambda _: None,
             lambda _: None,
             Counters(),
@@ -82,22 +83,23 @@
 
     @property
     def is_down(self):
-        return self.ends_s <= self.world.clock() < self.up_s
+        return self.ends_s <= self.case.clock() < self.up_s
 
     @property
     def in_rotation(self):
-        now_s = self.world.clock()
+        now_s = self.case.clock()
+        # Routers send elsewhere after two failed probes, 0.5 s apart.
         return now_s < self.leaves_s + 0.5 or now_s >= self.up_s + ROTATION_S
 
     def step(self):
-        now_s = self.world.clock()
+        now_s = self.case.clock()
         if self.is_down:
             return
         if self.ends_s <= now_s and self.departure is not None:
             self.departure = None
             self.restart()
         if self.departure is None and now_s >= self.stop_s and now_s < self.ends_s:
-            self.departure = Departure(self.world.clock, GRACE_S)
+            self.departure = Departure(self.case.clock, GRACE_S)
         if self.departure is not None and now_s < self.leaves_s:
             self.subscription.presence = PRESENCE_LEAVING
             self.subscription.poll()
@@ -119,13 +121,14 @@
         self.hub = RegistryHub(
             RunTable(1.0, self.clock),
             "a",
-            self.answer,
+            self.deliver,
             self.clock,
             lambda: True,
             lambda: True,
         )
 
-    def answer(self, message, target):
+    def deliver(self, message, target):
+        """Deliver a message of the control instance."""
         entry = self.entries.get(target)
         if entry is not None and not entry.is_down:
             entry.subscription.on_delta(message.delta, address(90))
@@ -140,11 +143,15 @@
             self.clock.value_s += 0.05
             for entry in self.entries.values():
                 entry.step()
-            rotation = sum(entry.in_rotation for entry in self.entries.values())
-            down = any(entry.is_down for entry in self.entries.values())
-            violation_count += rotation < 1.5 and down
+            in_rotation_count = sum(
+                entry.in_rotation for entry in self.entries.values()
+            )
+            # Below half of the three instances, routers send to ended ones, too.
+            is_any_down = any(entry.is_down for entry in self.entries.values())
+            violation_count += in_rotation_count < 1.5 and is_any_down
         self.assertEqual(violation_count, 0)
         for entry in self.entries.values():
-            # Routers stop sending within 4 s of the stop request.
+            # Routers stop sending, up to 1 s after it leaves, within 4 s of the stop
+            # request.
             self.assertLess(entry.leaves_s + 1.0 - entry.stop_s, 4.0)
             self.assertLess(entry.up_s, 14)
--- a/tests/datapath/test_evacuations.py
+++ b/tests/datapath/test_evacuations.py
@@ -38,7 +38,7 @@
         self.assertEqual(self.place(), {3})
 
     def test_evacuated_domain_gets_no_flow_if_others_stop_reporting(self):
-        """Openings are reset if the other failure domains have no usable run."""
+        """The other run gets flows for a while without reports, then none does."""
         self.view.set_evacuations(frozenset({"a"}))
         self.view.update_reporting(lambda run_id, _: run_id != "i-3")
         self.clock.value_s += 1.0
@@ -47,7 +47,7 @@
         self.assertEqual(self.handle(opening(50)), [("reset", 50)])
 
     def test_resets_opening_if_all_domains_are_evacuated(self):
-        """Callers can then retry elsewhere at once."""
+        """An opening that no run can take is not left to time out."""
         self.view.set_evacuations(frozenset({"a", "b"}))
         self.assertEqual(self.handle(opening(8)), [("reset", 8)])
 
@@ -61,7 +61,7 @@
         self.assertEqual(self.handle(opening(70)), [("reset", 70)])
 
     def test_detects_answers_from_other_domains(self):
-        """An evacuated failure domain is exempt only without such answers."""
+        """Such answers end the exemption of an evacuated failure domain."""
         self.clock.value_s += 10.0
         self.handle(opening(7))
         self.view.set_evacuations(frozenset({"a"}))
--- a/tests/datapath/test_flows.py
+++ b/tests/datapath/test_flows.py
@@ -50,13 +50,13 @@
             self.loads.record_packet(sent, self.backend, 1.2)
         self.assertEqual(self.backend.failures, 1)
 
-    def test_counts_flow_that_moved_here(self):
+    def test_counts_flow_opened_elsewhere(self):
         """A flow opened through another instance is counted from its first packet."""
         self.loads.record_packet(packet(payload_bytes=80), self.backend, 0.0)
         self.assertEqual(self.counts(), (1, 1))
 
-    def test_request_on_a_flow_that_moved_here_is_no_answer(self):
-        """The request may be a copy of one that is unanswered."""
+    def test_request_on_a_flow_opened_elsewhere_is_no_answer(self):
+        """The request may be a retransmission of an unanswered one."""
         self.backend.add_waiting_flow("another flow", 0.5)
         self.loads.record_packet(packet(payload_bytes=80), self.backend, 1.0)
         self.assertEqual(
@@ -65,8 +65,8 @@
         self.loads.record_packet(packet(payload_bytes=80), self.backend, 1.4)
         self.assertEqual(len(self.backend.waiting), 2)
 
-    def test_acknowledgement_on_a_flow_that_moved_here_is_an_answer(self):
-        """A packet without payload acknowledges something that was received."""
+    def test_acknowledgement_on_a_flow_opened_elsewhere_is_an_answer(self):
+        """A packet without payload acknowledges data of the run."""
         self.loads.record_packet(packet(), self.backend, 1.0)
         self.assertEqual(self.backend.last_answer_s, 1.0)
 
--- a/tests/datapath/test_forwarder.py
+++ b/tests/datapath/test_forwarder.py
@@ -76,7 +76,7 @@
         self.assertEqual(self.handle(opening()), [("reset", 1)])
 
     def test_reused_port_is_new_flow(self):
-        """An opening from a reused port follows the current table."""
+        """A copy and an opening from a reused port follow the current table."""
         self.view.update_run(run(1))
         self.view.update_run(run(2, service="archive"))
         self.handle(opening())
@@ -84,7 +84,7 @@
         self.assertEqual(self.handle(opening(copy=1)), [("forward", 2)])
         self.assertEqual(self.handle(opening()), [("forward", 2)])
 
-    def test_drops_label_of_other_service(self):
+    def test_drops_packet_to_other_service(self):
         """A packet never reaches a service that its route does not allow."""
         self.view.update_run(run(1, service="archive"))
         self.assertEqual(self.handle(packet(number=1)), [])
@@ -127,7 +127,7 @@
         self.assertEqual(self.handle(opening(copy=1)), [("forward", 1)])
 
     def test_avoids_run_that_never_answers(self):
-        """After a few unanswered openings other runs get the flows."""
+        """Every opening gets to the other run, and few need a copy for that."""
         self.view.update_run(run(1))
         self.view.update_run(run(2, failure_domain="b"))
         unresponsive, placements = 1, []
@@ -160,8 +160,8 @@
 class TestFlowsOfEndedRuns(ForwarderCase):
     """Resets of open flows whose run has ended."""
 
-    def end_flows(self):
-        """Run the timer's call and return the datagrams sent."""
+    def reset_flows(self):
+        """Reset flows as the timer does and return the datagrams sent."""
         self.sent.clear()
         self.forwarder.reset_flows_of_lost_runs()
         return [data for data, _ in self.sent]
@@ -170,26 +170,26 @@
         """The flow is reset before its caller sends the next request."""
         self.view.update_run(run(1))
         self.handle(packet(7, number=1))
-        self.assertEqual(self.end_flows(), [])
+        self.assertEqual(self.reset_flows(), [])
         self.view.update_run(run(1, ended=True))
         with TestHandler() as handler:
-            self.assertEqual(self.end_flows(), [("reset", 7)])
+            self.assertEqual(self.reset_flows(), [("reset", 7)])
         (line,) = [
             record for record in handler.records if record.message == Event.FLOW_RESET
         ]
         self.assertEqual(line.kwargs["label"], label_of(1))
-        self.assertEqual(self.end_flows(), [])
+        self.assertEqual(self.reset_flows(), [])
 
     def test_does_not_reset_flow_before_it_is_open(self):
         """Copies of the opening go to another run."""
         self.view.update_run(run(1))
         self.handle(opening(7))
         self.view.update_run(run(1, ended=True))
-        self.assertEqual(self.end_flows(), [])
+        self.assertEqual(self.reset_flows(), [])
 
     def test_does_not_reset_flow_of_replaced_run(self):
-        """The later run of the same id may hold the flow."""
+        """The later run of the same id may have accepted the flow."""
         self.view.update_run(run(1, started_ms=1_000))
         self.handle(packet(7, label=label_of(1, 1_000)))
         self.view.update_run(run(1, started_ms=2_000))
-        self.assertEqual(self.end_flows(), [])
+        self.assertEqual(self.reset_flows(), [])
--- a/tests/datapath/test_pacing.py
+++ b/tests/datapath/test_pacing.py
@@ -58,12 +58,13 @@
 
 class TestPacedSender(unittest.TestCase):
     def test_paced_window_arrives(self):
-        """Sixteen full packets at once arrive within the time that the link needs."""
+        """Sixteen long packets at once arrive about as fast as the link permits."""
         link = SlowLink()
         for sequence in range(16):
             link.send(1, sequence, 1_240)
         link.run_until(2.0)
         self.assertEqual((link.dropped, len(link.arrivals(1))), (0, 16))
+        # The link needs 0.08 s.
         self.assertLess(link.arrivals(1)[-1], 0.11)
 
     def test_unpaced_window_overflows_link_queue(self):
@@ -73,8 +74,8 @@
             link.transmit(b"x" * 1_240, None)
         self.assertGreater(link.dropped, 4)
 
-    def test_short_packet_goes_before_full_ones(self):
-        """A short packet waits for one full packet at most."""
+    def test_short_packet_goes_before_long_ones(self):
+        """A short packet does not wait for queued long ones."""
         link = SlowLink()
         for sequence in range(40):
             link.send(1, sequence, 1_240)
@@ -94,7 +95,7 @@
         self.assertLess(abs(ends[0] - ends[1]), 0.05)
 
     def test_short_packets_do_not_starve_upload(self):
-        """Full packets are sent among endless short ones."""
+        """Long packets are sent among endless short ones."""
         link = SlowLink()
         link.send(1, 0, 1_240)
         for step in range(2_000):
@@ -104,12 +105,13 @@
         self.assertGreater(len(link.arrivals(1)), 5)
 
     def test_does_not_queue_copy_of_queued_packet(self):
-        """A retransmission of a queued full packet is dropped."""
+        """A retransmission of a queued long packet is dropped."""
         link = SlowLink()
         for _ in range(2):
             for sequence in range(30):
                 link.send(1, sequence, 1_240)
         link.run_until(3.0)
+        # Copies of the first three packets, which were sent without queueing, are sent.
         self.assertLessEqual(len(link.arrivals(1)), 33)
 
     def test_drops_packet_after_longest_wait(self):
--- a/tests/datapath/test_policies.py
+++ b/tests/datapath/test_policies.py
@@ -25,7 +25,7 @@
     return switch_off(DEFAULT_POLICIES, name)
 
 
-class TestPlacingWithout(unittest.TestCase):
+class TestPlacingPoliciesOff(unittest.TestCase):
     def setUp(self):
         self.own_domain = Backend(run(1))
         self.other_domain = Backend(run(2, failure_domain="b"))
@@ -54,7 +54,10 @@
         return place_flow(services, runs.get, "a", 100.0, policies=without(name))
 
     def test_other_services(self):
-        """An opening is refused if its service has no usable run."""
+        """An opening is refused if its service has no usable run.
+
+        With this policy on, it goes to a run of the other service.
+        """
         self.other_domain.ended = True
         services = ("archive", "tab")
         self.assertIs(self.place(services, "out_of_sight_s"), self.own_domain)
@@ -62,7 +65,7 @@
         self.assertIsNone(self.place(services, "uses_other_services"))
 
     def test_out_of_sight(self):
-        """A run that stops reporting gets no flow."""
+        """A run that stops reporting gets no flow; with the policy on it does."""
         self.other_domain.reporting, self.other_domain.reporting_changed_s = False, 99.0
         self.assertIsNone(self.place(("archive",), "out_of_sight_s"))
         self.assertIs(
@@ -70,7 +73,7 @@
         )
 
 
-class TestReachabilityWithout(ForwarderCase):
+class TestReachabilityPoliciesOff(ForwarderCase):
     def disable(self, name):
         """Replace the forwarder by one with a policy off."""
         self.policies = without(name)
@@ -96,7 +99,7 @@
         )
 
     def test_avoidance(self):
-        """An unanswered run gets flows like any other."""
+        """A run that does not answer gets flows like any other."""
         self.disable("longest_avoidance_s")
         backend = Backend(run(1), self.policies)
         for _ in range(3):
@@ -118,7 +121,7 @@
         self.assertEqual(self.handle(packet(1, 1, payload_bytes=9)), [("reset", 1)])
 
     def test_answer_time(self):
-        """A run that usually answers fast gets the longest silence."""
+        """A run that usually answers fast is not unreachable after 0.7 s of silence."""
         silent, other = Backend(run(1)), Backend(run(2))
         silent.usual_answer_s = 0.02
         other.record_answer(11.6)
@@ -131,7 +134,7 @@
         self.assertFalse(detect_unreachable(*arguments, policies=off))
 
 
-class TestDepartureWithout(unittest.TestCase):
+class TestDeparturePoliciesOff(unittest.TestCase):
     def test_turns(self):
         """An instance leaves at once while others are away."""
         departure = Departure(Clock(), 6.0, without("turn_wait_s"))
@@ -143,12 +146,12 @@
         clock = Clock()
         readiness = Readiness(clock, without("relearn_wait_s"))
         complete_state = {"has_table": True, "has_backends": True, "is_complete": True}
-        self.assertTrue(readiness.check(**complete_state, last_control_message_s=0.0))
+        self.assertTrue(readiness.check(**complete_state, last_delta_s=0.0))
         clock.value_s += 5.0
-        self.assertTrue(readiness.check(**complete_state, last_control_message_s=0.0))
+        self.assertTrue(readiness.check(**complete_state, last_delta_s=0.0))
 
 
-class TestEntryWithout(unittest.IsolatedAsyncioTestCase):
+class TestEntryPoliciesOff(unittest.IsolatedAsyncioTestCase):
     def make_entry(self, name):
         """Return an entry instance with one policy off."""
         return LabelEntryInstance(
@@ -174,6 +177,7 @@
 
     async def test_sightings(self):
         """Control instances get no sightings."""
+        # `keeps_hints` has no effect here: the policy under test is on.
         for name, is_reported in (("shares_sightings", False), ("keeps_hints", True)):
             entry = await self.start(name)
             reports = []
@@ -194,6 +198,7 @@
 
     async def test_urgent_asks(self):
         """Control instances are polled at the poll interval only."""
+        # `keeps_hints` has no effect here: the policy under test is on.
         for name, is_urgent in (("asks_urgently", False), ("keeps_hints", True)):
             entry = self.make_entry(name)
             self.addAsyncCleanup(entry.stop)
--- a/tests/datapath/test_reachability.py
+++ b/tests/datapath/test_reachability.py
@@ -12,12 +12,12 @@
 from tests.fakes import Clock
 
 
-class TestIsUnreachable(unittest.TestCase):
+class TestDetectUnreachable(unittest.TestCase):
     def setUp(self):
         self.silent, self.other = Backend(run(1)), Backend(run(2))
         self.silent.record_answer(10.0)
 
-    def judge(self, now_s, running_since_s=0.0):
+    def detect(self, now_s, running_since_s=0.0):
         return detect_unreachable(
             self.silent, [self.silent, self.other], now_s, running_since_s
         )
@@ -30,33 +30,34 @@
         """Three flows wait for a second, and another run has just answered."""
         self.wait()
         self.other.record_answer(11.9)
-        self.assertTrue(self.judge(12.0))
+        self.assertTrue(self.detect(12.0))
 
     def test_two_waiting_flows_are_not_enough(self):
         """Packets may be lost on the path of a single caller."""
         self.wait(count=2)
         self.other.record_answer(11.9)
-        self.assertFalse(self.judge(12.0))
+        self.assertFalse(self.detect(12.0))
 
     def test_short_silence_is_not_enough(self):
         """A run may take some hundred milliseconds to answer."""
         self.wait()
         self.other.record_answer(11.4)
-        self.assertFalse(self.judge(11.5))
+        self.assertFalse(self.detect(11.5))
 
     def test_reachable_if_no_run_answers(self):
         """The fault may be in this instance."""
         self.wait()
-        self.assertFalse(self.judge(12.0))
+        self.assertFalse(self.detect(12.0))
         self.other.record_answer(10.5)
-        self.assertFalse(self.judge(12.0))
+        self.assertFalse(self.detect(12.0))
 
     def test_reachable_after_suspension(self):
         """Answers missed while the process was suspended are no evidence."""
         self.wait()
         self.other.record_answer(11.9)
-        self.assertFalse(self.judge(12.0, running_since_s=11.8))
-        self.assertFalse(self.judge(12.0))
+        self.assertFalse(self.detect(12.0, running_since_s=11.8))
+        # The first call has cleared the waiting flows.
+        self.assertFalse(self.detect(12.0))
 
     def test_answer_makes_run_reachable(self):
         """One answer clears the unreachable state and the waiting flows."""
@@ -70,16 +71,17 @@
 class CallerSimulation:
     """Simulation of callers with long flows through a real forwarder.
 
-    Answers bypass the forwarder, as on the platform. `delay_s` returns the answer time
-    of a run at a time, or None if it does not answer.
+    Answers bypass the forwarder, as on the platform. `find_answer_delay_s` returns the
+    answer time of a run by its number and the current time, or None if the run does
+    not answer.
     """
 
-    def __init__(self, delay_s, idempotent=True, flows=120, seed=1):
+    def __init__(self, find_answer_delay_s, idempotent=True, flows=120, seed=1):
         self.clock = Clock(0.0)
         self.random = random.Random(seed)
         # Placing chooses randomly among runs with the same load.
         random.seed(seed)
-        self.delay_s = delay_s
+        self.find_answer_delay_s = find_answer_delay_s
         self.event_ids = itertools.count()
         self.events = []
         self.ports = itertools.count(1)
@@ -103,21 +105,22 @@
         )
         route = Route((Target("tab", 1),), frozenset({"tab"}), idempotent)
         self.forwarder.table = RouteTable(1, {(HOST, 443): route})
-        self.at(0.2, self.judge)
+        self.at(0.2, self.on_timer)
         for _ in range(flows):
             self.at(self.random.uniform(0.0, 2.0), self.begin, None)
 
     def at(self, time_s, call, *arguments):
         heapq.heappush(self.events, (time_s, next(self.event_ids), call, arguments))
 
-    def judge(self):
-        """Run the timer's calls of an entry instance."""
+    def on_timer(self):
+        """Make the calls that a timer of the entry instance makes."""
         self.current = None
         self.forwarder.tick()
         self.forwarder.reset_flows_of_lost_runs()
-        self.at(self.clock() + 0.2, self.judge)
+        self.at(self.clock() + 0.2, self.on_timer)
 
-    def play(self, until_s):
+    def run_until(self, until_s):
+        """Process the events before a time and return the simulation."""
         while self.events and self.events[0][0] < until_s:
             time_s, _, call, arguments = heapq.heappop(self.events)
             while self.clock.value_s + 0.2 < time_s:
@@ -163,7 +166,7 @@
             # An acknowledgement, which has no answer.
             return
         number = data[1]
-        delay_s = self.delay_s(number, self.clock())
+        delay_s = self.find_answer_delay_s(number, self.clock())
         if delay_s is None:
             return
         if not request[3]:
@@ -197,6 +200,7 @@
             return
         request[1] = True
         took_s = self.clock() - request[0]
+        # In time: without waiting for a retransmission, the first after 0.2 s.
         self.in_time += took_s <= 0.12
         self.late += took_s > 0.12
         self.received[port] = int(self.clock() * 1e6)
@@ -225,49 +229,51 @@
 
 
 def count_failed_requests(seeds):
-    """Return the failed requests to a crashed run without retries by callers."""
-    plays = [
+    """Return the number of failed requests if callers may not retry them."""
+    simulations = [
         CallerSimulation(crashes_at_10, idempotent=False, seed=seed) for seed in seeds
     ]
-    return sum(play.play(20.0).failed for play in plays)
+    return sum(simulation.run_until(20.0).failed for simulation in simulations)
 
 
 class TestCallerSimulation(unittest.TestCase):
     def test_resets_reduce_failed_requests(self):
         """Most requests on flows of a crashed run are answered by other runs."""
-        with_resets = CallerSimulation(crashes_at_10).play(20.0)
-        with mock.patch("agatethread.datapath._suspects.detect_unreachable") as judge:
-            judge.return_value = False
-            baseline = CallerSimulation(crashes_at_10).play(20.0)
+        with_resets = CallerSimulation(crashes_at_10).run_until(20.0)
+        with mock.patch("agatethread.datapath._suspects.detect_unreachable") as detect:
+            detect.return_value = False
+            baseline = CallerSimulation(crashes_at_10).run_until(20.0)
         self.assertGreater(baseline.failed, 12)
         self.assertLess(with_resets.failed, baseline.failed / 2)
         self.assertGreater(with_resets.in_time, baseline.in_time)
 
     def test_slow_run_keeps_its_flows(self):
         """A run that is slow but answers is reachable."""
-        self.assertEqual(CallerSimulation(slow_from_10).play(20.0).resets, 0)
+        self.assertEqual(CallerSimulation(slow_from_10).run_until(20.0).resets, 0)
 
     def test_busy_flows_are_not_reset_if_not_idempotent(self):
         """Only idle flows are reset if requests can't be retried."""
-        play = CallerSimulation(crashes_at_10, idempotent=False).play(20.0)
-        self.assertEqual(play.busy_resets, 0)
-        self.assertGreater(play.resets, 0)
+        simulation = CallerSimulation(crashes_at_10, idempotent=False).run_until(20.0)
+        self.assertEqual(simulation.busy_resets, 0)
+        self.assertGreater(simulation.resets, 0)
 
     def test_resets_of_idle_flows_reduce_failed_requests(self):
         """Fewer requests fail that callers can't retry."""
         with_resets = count_failed_requests(seeds=range(1, 5))
-        with mock.patch("agatethread.datapath._forwarder.should_reset_flow") as ends:
-            ends.return_value = False
+        with mock.patch(
+            "agatethread.datapath._forwarder.should_reset_flow"
+        ) as should_reset:
+            should_reset.return_value = False
             baseline = count_failed_requests(seeds=range(1, 5))
         self.assertGreater(baseline, 50)
         self.assertLess(with_resets, baseline * 0.7)
 
     def test_no_reset_if_all_runs_are_silent(self):
         """The fault may be in this instance."""
-        play = CallerSimulation(
+        simulation = CallerSimulation(
             lambda number, now_s: None if now_s >= 10.0 else 0.03
-        ).play(20.0)
-        self.assertEqual(play.resets, 0)
+        ).run_until(20.0)
+        self.assertEqual(simulation.resets, 0)
 
     def test_labels_differ(self):
         """The simulation needs seven distinct labels."""
--- a/tests/datapath/test_readiness.py
+++ b/tests/datapath/test_readiness.py
@@ -14,7 +14,7 @@
             "has_table": True,
             "has_backends": True,
             "is_complete": True,
-            "last_control_message_s": 0.0,
+            "last_delta_s": 0.0,
         }
         self.clock.value_s += after_s
         return self.readiness.check(**(values | fields))
@@ -26,14 +26,14 @@
         self.assertTrue(self.check())
 
     def test_wait_for_all_backend_servers_is_limited(self):
-        """The instance is ready with an incomplete view after a timeout."""
+        """After 4 s the instance is ready although not all runs are known."""
         self.assertFalse(self.check(is_complete=False))
         for _ in range(45):
             ready = self.check(is_complete=False)
         self.assertTrue(ready)
 
     def test_stays_ready_with_incomplete_view(self):
-        """A ready instance keeps serving without control instances."""
+        """A ready instance stays ready although not all runs are known."""
         self.assertTrue(self.check())
         for _ in range(100):
             self.assertTrue(self.check(is_complete=False))
@@ -49,10 +49,10 @@
         self.assertTrue(self.check())
         self.assertFalse(self.check(after_s=5.0))
         self.assertFalse(self.check())
-        self.assertTrue(self.check(last_control_message_s=self.clock.value_s))
+        self.assertTrue(self.check(last_delta_s=self.clock.value_s))
 
     def test_wait_after_suspension_is_limited(self):
-        """Without a control instance it becomes ready after a timeout."""
+        """Without a control message it becomes ready after 1.5 s."""
         self.assertTrue(self.check())
         self.assertFalse(self.check(after_s=5.0))
         for _ in range(16):
--- a/tests/datapath/test_restarts.py
+++ b/tests/datapath/test_restarts.py
@@ -13,7 +13,7 @@
         return label_of(1, started_ms)
 
     def test_drops_packet_with_label_of_unknown_run(self):
-        """The end of an earlier run does not affect flows of a later one."""
+        """The end of an earlier run does not reset flows of a later, unknown one."""
         self.start(1_000)
         self.start(1_000, sequence=9, ended=True)
         later = packet(label=self.label(2_000))
@@ -44,7 +44,7 @@
         self.assertEqual(after.penalty_until_s, 0.0)
 
     def test_forwards_earlier_label_to_later_run(self):
-        """The later run may hold a flow that was placed under the earlier label."""
+        """The later run may have accepted a flow placed under the earlier label."""
         self.start(1_000)
         self.handle(opening(7))
         self.start(2_000, address=address(5))
@@ -82,6 +82,7 @@
         known_starts_ms = [
             ms for ms in range(1_000, 1_100) if self.view.get_by_label(self.label(ms))
         ]
+        # Eight earlier labels and the current one.
         self.assertEqual(known_starts_ms, list(range(1_091, 1_100)))
         self.start(1_099, sequence=2, ended=True)
         self.clock.value_s += 61.0
