--- a/tests/datapath/test_placing.py
+++ b/tests/datapath/test_placing.py
@@ -118,7 +118,7 @@
 
     def test_rejects_ended_draining_or_duplicate_label_run(self):
         """Such unreachable runs are not tried, even without an alternative."""
-        for state in ("ended", "draining", "shares_label"):
+        for state in ("ended", "draining", "is_label_taken"):
             self.setUp()
             self.stop_reports(self.other_run)
             setattr(self.other_run, state, True)
