--- a/src/agatethread/entry/_forwarding.py
+++ b/src/agatethread/entry/_forwarding.py
@@ -4,7 +4,7 @@
 
 from agatethread.exceptions import SealError
 from agatethread.observability import Counters
-from agatethread.routing import EndpointTable, OpenFlowOutcome, judge_open_flow
+from agatethread.routing import EndpointTable, OpenFlowOutcome, decide_open_flow
 from agatethread.wire import (
     Cookie,
     Envelope,
@@ -105,7 +105,7 @@
 
     def _build_route(self, envelope: Envelope, caller: Address) -> Route | None:
         cookie = parse_cookie(self._sealer, envelope.cookie)
-        outcome = judge_open_flow(
+        outcome = decide_open_flow(
             # The sealed cookie proves that the run existed.
             is_known=True,
             is_allowed=cookie.service == service_hash(envelope.service),
--- a/tests/datapath/test_fair_placing.py
+++ b/tests/datapath/test_fair_placing.py
@@ -1,7 +1,7 @@
 import unittest
 from unittest import mock
 
-from agatethread.balancing import CallerShares
+from agatethread.balancing import CallerCounts
 from tests.datapath.pressure_simulation import OTHER, URGENT, PressureSimulation
 
 GREEDY = 1_000
@@ -17,7 +17,10 @@
             self.schedule(at_s, self.start_call, port, "a", 3, None, caller)
 
     def served_ratio_of(self, callers, aim_s=0.4):
-        """Return the ratio of these callers' requests that were answered in time."""
+        """Return the ratio of these callers' calls that were answered in time.
+
+        A call that was retried counts with its last attempt only.
+        """
         attempts = [
             attempt for key, attempt in self.last_attempts() if key.caller in callers
         ]
@@ -29,7 +32,7 @@
         return [
             (key, attempt)
             for key, attempt in self.outcomes.items()
-            if attempt["attempts"]
+            if attempt["attempts_left"]
         ]
 
 
@@ -48,7 +51,7 @@
 
     def test_limits_greedy_caller_only(self):
         """Other callers are served in time with the shares, and not without them."""
-        with mock.patch.object(CallerShares, "exceeds_share", lambda *_: False):
+        with mock.patch.object(CallerCounts, "exceeds_share", lambda *_: False):
             unlimited = self.simulate()
         simulation = self.simulate()
         self.assertLess(unlimited.served_ratio_of(self.ORDINARY), 0.95)
@@ -72,7 +75,7 @@
         self.assertGreater(simulation.served_ratio_of(self.ORDINARY), 0.999)
 
     def test_limits_no_caller_within_capacity(self):
-        """With room for all the greedy caller is not refused."""
+        """With room for all, no caller is refused, and the greedy one is served."""
         simulation = FairnessSimulation(entries=24, seed=3)
         for caller in self.ORDINARY:
             simulation.schedule_calls_of(caller, 5, 3.0)
