--- a/benchmarks/request_path.py
+++ b/benchmarks/request_path.py
@@ -31,7 +31,7 @@
 from agatethread.datapath._pacing import PacedSender
 from agatethread.datapath._placing import place_flow
 from agatethread.observability import Counters
-from agatethread.registry import RegistryHub, Report, RoutesOffer, RunTable
+from agatethread.registry import RegistryPublisher, Report, RoutesOffer, RunTable
 from agatethread.routing import Route, RouteTable, Target, decode_table
 from agatethread.wire import pack_address
 from agatethread.wire.registry_pb2 import (
@@ -153,7 +153,7 @@
 
 def _control_steps() -> list[Step]:
     runs = RunTable(_REPORT_INTERVAL_S, time.monotonic)
-    hub = RegistryHub(
+    hub = RegistryPublisher(
         runs, "a", lambda *_: None, time.monotonic, lambda: True, lambda: True
     )
     for nth in range(_ENTRY_COUNT):
@@ -173,7 +173,7 @@
         return Report(**(values | fields))
 
     for run in _runs():
-        runs.remember([run])
+        runs.restore([run])
 
     def tell_change() -> None:
         runs.report(report(warm_up_s=random.random() + next(sequences)))
--- a/src/agatethread/control/_hints.py
+++ b/src/agatethread/control/_hints.py
@@ -8,7 +8,7 @@
 from agatethread.control._raft import RaftNode
 from agatethread.exceptions import DiskFullError
 from agatethread.observability import Event, make_logger
-from agatethread.registry import KnownEntry, RegistryHub, RunTable, save_hints
+from agatethread.registry import KnownEntry, RegistryPublisher, RunTable, save_hints
 
 log = make_logger("control")
 
@@ -29,7 +29,7 @@
         The data folder.
     runs : RunTable
         Runs of the backend servers.
-    hub : RegistryHub
+    hub : RegistryPublisher
         Lists the entry instances.
     get_node : callable
         Returns this member of the log; None while the log is not open.
@@ -43,7 +43,7 @@
         self,
         folder: str,
         runs: RunTable,
-        hub: RegistryHub,
+        hub: RegistryPublisher,
         get_node: Callable[[], RaftNode | None],
         spawn: Callable[[Coroutine[Any, Any, None]], object],
         saves_runs: bool = True,
@@ -64,7 +64,7 @@
         node = self._get_node()
         current = _SavedState(
             self._runs.changed_index,
-            self._hub.entries(),
+            self._hub.known_entries(),
             node.commit_index if node else 0,
         )
         if not self._is_writing and current != self._saved:
--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -29,7 +29,7 @@
     EvacuationPublisher,
     Hints,
     QualityKeeper,
-    RegistryHub,
+    RegistryPublisher,
     RegistryTransport,
     Report,
     RoutesOffer,
@@ -109,7 +109,7 @@
             settings.failure_domain,
         )
         self.runs = RunTable(settings.report_interval_s, now_s)
-        self.hub = RegistryHub(
+        self.hub = RegistryPublisher(
             self.runs,
             settings.failure_domain,
             self._transport.send,
@@ -119,16 +119,16 @@
         )
         self._dispatchers = DispatcherDirectory(
             settings.failure_domain,
-            self.hub.entries_in_sight,
+            self.hub.reachable_entries,
             lambda: (run for _, run in self.runs.changes_after(0, False)),
-            lambda: self.subscription.live(),
+            lambda: self.subscription.reachable_links(),
             now_s,
         )
         self.quality: QualityKeeper | None = None
         if settings.parts.judges_answers:
             self.quality = self._make_quality_keeper()
         self._evacuations = EvacuationPublisher(
-            self.hub.in_sight, self._transport.send, now_s
+            self.hub.reachable_subscribers, self._transport.send, now_s
         )
         self.subscription = Subscription(
             settings.failure_domain,
@@ -143,15 +143,15 @@
             self._evacuations,
         )
         self._evacuations.on_known = self.subscription.poll
-        self.subscription.on_number = self._on_number
-        self.hub.list_hubs = self.subscription.live
+        self.subscription.on_numbered_report = self._on_number
+        self.hub.list_other_controls = self.subscription.reachable_links
 
     def _make_quality_keeper(self) -> QualityKeeper:
         return QualityKeeper(
             self.settings.failure_domain,
             lambda: (run for _, run in self.runs.changes_after(0, False)),
-            self.hub.entries_in_sight,
-            lambda: [link.address for link in self.subscription.live()],
+            self.hub.reachable_entries,
+            lambda: [link.address for link in self.subscription.reachable_links()],
             self._transport.send,
             self.timers.now_s,
             self.counters,
@@ -170,17 +170,19 @@
         hints = Hints()
         if policies.keeps_hints:
             hints = load_hints(self.settings.data_dir)
-        self.runs.remember(hints.runs)
+        self.runs.restore(hints.runs)
         self._transport.start(self._on_message)
         if policies.greets_known_entries:
             self.hub.greet(hints.entries)
         self.timers.subscribe(_POLL_INTERVAL_S, self.subscription.poll)
         if policies.asks_urgently:
-            self.timers.subscribe(_URGENT_INTERVAL_S, self.subscription.knock_urgently)
+            self.timers.subscribe(
+                _URGENT_INTERVAL_S, self.subscription.probe_if_unreachable
+            )
         self.timers.subscribe(_FLUSH_INTERVAL_S, self.hub.flush)
         self.timers.subscribe(_FLUSH_INTERVAL_S, self._evacuations.publish)
         self.timers.subscribe(_SWEEP_INTERVAL_S, self.runs.sweep)
-        self.timers.subscribe(_SIGHTINGS_INTERVAL_S, self.hub.tell_sightings)
+        self.timers.subscribe(_SIGHTINGS_INTERVAL_S, self.hub.send_sightings)
         if self.settings.parts.relays_openings:
             self.hub.add_dispatchers = self._dispatchers.add_to
             self.timers.subscribe(_DISPATCHERS_INTERVAL_S, self._dispatchers.refresh)
@@ -243,7 +245,8 @@
             address,
             settings.voter_count,
             lambda: [
-                self._get_log_target(link.address) for link in self.subscription.live()
+                self._get_log_target(link.address)
+                for link in self.subscription.reachable_links()
             ],
             port.connect,
             self.timers.now_s,
@@ -313,15 +316,15 @@
         ReportRefusedError
             If it is ambiguous which run has ended.
         """
-        if self.runs.leave(run_id, started_ms):
+        if self.runs.end_run(run_id, started_ms):
             await self._spread("leave", run_id, True)
 
     async def _spread(self, change_kind: str, run_id: str, leaving: bool) -> None:
         # An acknowledged drain or end must not be lost if this process fails.
         if not leaving:
-            self.hub.tell_soon()
+            self.hub.flush_soon()
             return
-        is_spread = await self.hub.spread(_SPREAD_TIMEOUT_S)
+        is_spread = await self.hub.flush_and_wait(_SPREAD_TIMEOUT_S)
         if not is_spread:
             self.counters["spread_incomplete"] += 1
             log.warning(Event.NOT_SPREAD, what=change_kind, run=run_id)
@@ -339,7 +342,7 @@
         body = message.WhichOneof("body")
         if body == "poll":
             if message.poll.is_control:
-                self.subscription.meet(source, message.poll.failure_domain)
+                self.subscription.add_control(source, message.poll.failure_domain)
             self.hub.on_poll(message.poll, source)
         elif body == "delta":
             self.subscription.on_delta(message.delta, source)
@@ -349,12 +352,12 @@
             self.quality.on_message(message, source)
 
     def _on_run(self, run: BackendRun) -> None:
-        if self.runs.take(run):
-            self.hub.tell_soon()
+        if self.runs.apply_peer_run(run):
+            self.hub.flush_soon()
 
     def _on_number(self, number: int, sequence: int, starts: Mapping[str, int]) -> None:
-        if self.runs.take_number(number, sequence, starts):
-            self.hub.tell_soon()
+        if self.runs.apply_numbered_report(number, sequence, starts):
+            self.hub.flush_soon()
 
     def measures(self) -> Measures:
         """Return the metrics of this instance.
--- a/src/agatethread/control/_routing_state.py
+++ b/src/agatethread/control/_routing_state.py
@@ -6,13 +6,13 @@
 from agatethread.control._raft import RaftNode
 from agatethread.control._roles import Role
 from agatethread.observability import Counters, Histogram, Measures
-from agatethread.registry import RegistryHub, RunTable
+from agatethread.registry import RegistryPublisher, RunTable
 
 
 def make_measures(
     counters: Counters,
     runs: RunTable,
-    hub: RegistryHub,
+    hub: RegistryPublisher,
     get_node: Callable[[], RaftNode | None],
     change_s: Histogram,
 ) -> Measures:
@@ -24,7 +24,7 @@
         The process's counters.
     runs : RunTable
         Runs of the backend servers.
-    hub : RegistryHub
+    hub : RegistryPublisher
         Lists the subscribers.
     get_node : callable
         Returns the member of the log; None while the log is not open.
--- a/src/agatethread/datapath/_answer_reports.py
+++ b/src/agatethread/datapath/_answer_reports.py
@@ -8,7 +8,7 @@
 from agatethread.datapath._forwarder import LabelForwarder
 from agatethread.datapath._weights import RunWeightStore
 from agatethread.observability import Counters
-from agatethread.registry import HubLink, choose_followed
+from agatethread.registry import ControlLink, choose_followed
 from agatethread.wire.registry_pb2 import RegistryMessage, RunWeights
 
 #: Short against the time in which a slow server must be noticed, to leave time for
@@ -42,7 +42,7 @@
         forwarder: LabelForwarder,
         view: BackendView,
         failure_domain: str,
-        reachable: Callable[[], Sequence[HubLink]],
+        reachable: Callable[[], Sequence[ControlLink]],
         send: Callable[[RegistryMessage, bytes], None],
         now_s: Callable[[], float],
         counters: Counters,
--- a/src/agatethread/datapath/_cold.py
+++ b/src/agatethread/datapath/_cold.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 
 from agatethread.datapath._backend import Backend
-from agatethread.registry import NO_RANK, EntryRank
+from agatethread.registry import UNKNOWN_RANK, EntryRank
 
 #: Groups of instances that may use the whole limit at a time: both sides of a network
 #: cut, and instances whose rank has just changed.
@@ -65,7 +65,7 @@
         #: Rate of a cold server by service, for services that set one.
         self.rates_per_s: Mapping[str, float] = {}
         #: Rank of this instance among all, assigned by control instances.
-        self.rank = NO_RANK
+        self.rank = UNKNOWN_RANK
 
     def is_limited(self, backend: Backend, now_s: float) -> bool:
         """Return whether a server gets no new flow while a warm one can take it.
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -20,10 +20,10 @@
     KnownEvacuations,
     RegistryTransport,
     Subscription,
-    are_silent,
+    are_other_domains_unreachable,
     is_cut_off,
     merge_dispatchers,
-    widest_rank,
+    most_complete_rank,
 )
 from agatethread.routing import decode_table
 from agatethread.settings import (
@@ -209,7 +209,7 @@
             self.forwarder,
             self.view,
             self._settings.failure_domain,
-            self.subscription.live,
+            self.subscription.reachable_links,
             self._transport.send,
             self.timers.now_s,
             self.counters,
@@ -225,7 +225,7 @@
         self.timers.subscribe(_POLL_INTERVAL_S, self.subscription.poll)
         if self._settings.policies.asks_urgently:
             self.timers.subscribe(
-                _URGENT_POLL_INTERVAL_S, self.subscription.knock_urgently
+                _URGENT_POLL_INTERVAL_S, self.subscription.probe_if_unreachable
             )
         self.timers.subscribe(_VIEW_UPDATE_INTERVAL_S, self._update_view)
         self.timers.subscribe(_SUSPECT_CHECK_INTERVAL_S, self._check_suspects)
@@ -261,7 +261,7 @@
         self.subscription.presence = PRESENCE_LEAVING
         self.subscription.poll()
         while not departure.may_leave(
-            self.subscription.domain_view(departure.requested_s)
+            self.subscription.own_domain_view(departure.requested_s)
         ):
             await asyncio.sleep(_TURN_POLL_INTERVAL_S)
             self.subscription.poll()
@@ -289,12 +289,12 @@
     def _update_view(self) -> None:
         self.forwarder.tick()
         self.view.update_reporting(self.subscription.is_reporting)
-        self._cold.rank = widest_rank(
-            self.subscription.live(), self._settings.failure_domain
+        self._cold.rank = most_complete_rank(
+            self.subscription.reachable_links(), self._settings.failure_domain
         )
         if self.forwarder.shared_placing:
             dispatchers = merge_dispatchers(
-                self.subscription.live(), self.timers.now_s()
+                self.subscription.reachable_links(), self.timers.now_s()
             )
             self.forwarder.shared_placing.set_dispatchers(dispatchers)
         if self._settings.policies.serves_evacuated_when_cut_off:
@@ -309,9 +309,9 @@
         ):
             return False
         links = self.subscription.links.values()
-        if not are_silent(links, domain, self.timers.now_s()):
+        if not are_other_domains_unreachable(links, domain, self.timers.now_s()):
             return False
-        return is_cut_off(links, self.subscription.live(), domain)
+        return is_cut_off(links, self.subscription.reachable_links(), domain)
 
     def _check_suspects(self) -> None:
         self.forwarder.reset_flows_of_lost_runs()
@@ -319,7 +319,7 @@
             return
         sightings = self.forwarder.sightings()
         if sightings:
-            self.subscription.tell(sightings)
+            self.subscription.send_sightings(sightings)
 
     def _sweep(self) -> None:
         now_s = self.timers.now_s()
@@ -340,7 +340,7 @@
                 Event.READY if ready else Event.NOT_READY,
                 version=self.forwarder.table.version,
                 backends=len(self.view),
-                controls=len(self.subscription.live()),
+                controls=len(self.subscription.reachable_links()),
             )
         self.is_ready = ready
         self._update_presence()
@@ -370,7 +370,9 @@
                 "waiting_bytes": lambda: float(self.sender.waiting_bytes),
                 "backends": lambda: float(len(self.view)),
                 "routes_version": lambda: float(self.forwarder.table.version),
-                "controls_in_sight": lambda: float(len(self.subscription.live())),
+                "controls_in_sight": lambda: float(
+                    len(self.subscription.reachable_links())
+                ),
                 "control_silent_s": lambda: (
                     self.timers.now_s() - self._last_control_message_s
                 ),
--- a/src/agatethread/registry/_link.py
+++ b/src/agatethread/registry/_control_link.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from agatethread.observability import Event, make_logger
-from agatethread.registry._presence import NO_RANK, EntryRank
+from agatethread.registry._presence import UNKNOWN_RANK, EntryRank
 from agatethread.wire.registry_pb2 import Delta, Dispatchers, DomainCounts, HubState
 
 #: Messages acknowledged together; half of a window.
@@ -13,7 +13,7 @@
 
 
 @dataclass
-class HubLink:
+class ControlLink:
     """State that this process has received from one control instance."""
 
     address: bytes
@@ -38,17 +38,17 @@
     #: Version of its newest agreed routing table.
     routes_version: int = 0
     #: Rank of this instance among the entry instances that it reaches.
-    rank: EntryRank = NO_RANK
+    rank: EntryRank = UNKNOWN_RANK
     #: Counts of this instance's failure domain, and the time of their receipt.
     domain: DomainCounts | None = None
     domain_received_s: float = float("-inf")
     #: Dispatchers of each failure domain, and the time of their receipt.
     dispatchers: tuple[Dispatchers, ...] = ()
     dispatchers_digest: int = 0
-    dispatchers_told_s: float = float("-inf")
+    dispatchers_received_s: float = float("-inf")
     #: Serving entry instances of its failure domain, and the time of their receipt.
     serving: tuple[bytes, ...] = ()
-    serving_told_s: float = float("-inf")
+    serving_received_s: float = float("-inf")
     #: Whether its full state has been received once.
     complete: bool = False
     #: Whether this process has unfollowed it.
@@ -108,10 +108,10 @@
             self.dispatchers = tuple(state.dispatchers)
             self.dispatchers_digest = state.dispatchers_digest
         if self.dispatchers and state.dispatchers_digest == self.dispatchers_digest:
-            self.dispatchers_told_s = now_s
+            self.dispatchers_received_s = now_s
         if state.serving:
             self.serving = tuple(state.serving)
-            self.serving_told_s = now_s
+            self.serving_received_s = now_s
 
     def advance(self, delta: Delta) -> bool:
         """Advance the index of received changes.
--- a/src/agatethread/registry/_dispatchers.py
+++ b/src/agatethread/registry/_dispatchers.py
@@ -12,8 +12,8 @@
 from xxhash import xxh32_intdigest
 
 from agatethread.balancing import choose_dispatchers
-from agatethread.registry._link import HubLink
-from agatethread.registry._presence import Subscriber
+from agatethread.registry._control_link import ControlLink
+from agatethread.registry._presence import PollingInstance
 from agatethread.wire.registry_pb2 import (
     PRESENCE_SERVING,
     BackendRun,
@@ -51,7 +51,7 @@
 
 
 def list_serving(
-    failure_domain: str, entries: Iterable[tuple[bytes, Subscriber]], now_s: float
+    failure_domain: str, entries: Iterable[tuple[bytes, PollingInstance]], now_s: float
 ) -> list[bytes]:
     """Return the entry instances of a failure domain that serve callers.
 
@@ -59,7 +59,7 @@
     ----------
     failure_domain : str
         Its name.
-    entries : iterable of tuple of (bytes, Subscriber)
+    entries : iterable of tuple of (bytes, PollingInstance)
         Entry instances by their packed addresses, also of other failure domains.
     now_s : float
         Present time.
@@ -74,12 +74,12 @@
         for address, entry in entries
         if entry.failure_domain == failure_domain
         and entry.presence == PRESENCE_SERVING
-        and now_s - entry.heard_s < _ENTRY_TIMEOUT_S
+        and now_s - entry.last_poll_s < _ENTRY_TIMEOUT_S
     ]
 
 
 def list_serving_at_peers(
-    failure_domain: str, links: Iterable[HubLink], now_s: float
+    failure_domain: str, links: Iterable[ControlLink], now_s: float
 ) -> list[bytes]:
     """Return the entry instances that poll the domain's other control instances.
 
@@ -90,7 +90,7 @@
     ----------
     failure_domain : str
         Its name.
-    links : iterable of HubLink
+    links : iterable of ControlLink
         The reachable control instances.
     now_s : float
         Present time.
@@ -104,14 +104,14 @@
         address
         for link in links
         if link.failure_domain == failure_domain
-        and now_s - link.serving_told_s < _ENTRY_TIMEOUT_S
+        and now_s - link.serving_received_s < _ENTRY_TIMEOUT_S
         for address in link.serving
     ]
 
 
 def choose_for_domain(
     failure_domain: str,
-    entries: Iterable[tuple[bytes, Subscriber]],
+    entries: Iterable[tuple[bytes, PollingInstance]],
     slot_count: int,
     now_s: float,
     serving_at_peers: Iterable[bytes] = (),
@@ -122,7 +122,7 @@
     ----------
     failure_domain : str
         Its name.
-    entries : iterable of tuple of (bytes, Subscriber)
+    entries : iterable of tuple of (bytes, PollingInstance)
         Entry instances by their packed addresses, also of other failure domains.
     slot_count : int
         Slots of the domain's backend servers.
@@ -144,12 +144,14 @@
     )
 
 
-def merge_dispatchers(links: Iterable[HubLink], now_s: float) -> dict[str, Dispatchers]:
+def merge_dispatchers(
+    links: Iterable[ControlLink], now_s: float
+) -> dict[str, Dispatchers]:
     """Return the dispatchers of all failure domains, as reported by control instances.
 
     Parameters
     ----------
-    links : iterable of HubLink
+    links : iterable of ControlLink
         The reachable control instances.
     now_s : float
         Present time.
@@ -170,7 +172,7 @@
 
 
 def list_by_own_control(
-    links: Iterable[HubLink], now_s: float
+    links: Iterable[ControlLink], now_s: float
 ) -> dict[str, Dispatchers]:
     """Return the dispatchers that control instances chose for their own domains.
 
@@ -179,7 +181,7 @@
 
     Parameters
     ----------
-    links : iterable of HubLink
+    links : iterable of ControlLink
         The reachable control instances.
     now_s : float
         Present time.
@@ -197,11 +199,11 @@
 
 
 def _list_recent(
-    links: Iterable[HubLink], now_s: float
-) -> Iterator[tuple[HubLink, Dispatchers]]:
+    links: Iterable[ControlLink], now_s: float
+) -> Iterator[tuple[ControlLink, Dispatchers]]:
     """Yield recent dispatchers that are not empty, in the same order everywhere."""
     for link in sorted(links, key=lambda link: link.address):
-        if now_s - link.dispatchers_told_s >= _CONTROL_TIMEOUT_S:
+        if now_s - link.dispatchers_received_s >= _CONTROL_TIMEOUT_S:
             continue
         for dispatchers in link.dispatchers:
             if dispatchers.addresses:
@@ -249,9 +251,9 @@
     def __init__(
         self,
         failure_domain: str,
-        list_entries: Callable[[], Iterable[tuple[bytes, Subscriber]]],
+        list_entries: Callable[[], Iterable[tuple[bytes, PollingInstance]]],
         list_runs: Callable[[], Iterable[BackendRun]],
-        list_controls: Callable[[], Iterable[HubLink]],
+        list_controls: Callable[[], Iterable[ControlLink]],
         now_s: Callable[[], float],
     ):
         self._failure_domain = failure_domain
@@ -275,14 +277,14 @@
         """
         return self._dispatchers
 
-    def add_to(self, state: HubState, subscriber: Subscriber) -> None:
+    def add_to(self, state: HubState, subscriber: PollingInstance) -> None:
         """Add the dispatchers to a reply if the receiver's digest differs.
 
         Parameters
         ----------
         state : HubState
             Part of the reply; it is changed.
-        subscriber : Subscriber
+        subscriber : PollingInstance
             The receiver. Another control instance of the domain also gets the entry
             instances that poll this one.
         """
--- a/src/agatethread/registry/_entries.py
+++ b/src/agatethread/registry/_entries.py
@@ -20,11 +20,17 @@
         State of the run.
     """
 
-    __slots__ = ("changed_index", "details_index", "direct_index", "heard_s", "run")
+    __slots__ = (
+        "changed_index",
+        "details_index",
+        "direct_index",
+        "last_report_s",
+        "run",
+    )
 
     def __init__(self, run: BackendRun):
         self.run = run
-        self.heard_s = 0.0
+        self.last_report_s = 0.0
         #: Index of the last change that is sent to entry instances.
         self.changed_index = 0
         #: Index of the last report received directly from the run.
@@ -201,7 +207,7 @@
     if is_old or run.started_ms != started_ms:
         return False
     run.sequence = sequence
-    entry.heard_s = now_s
+    entry.last_report_s = now_s
     return True
 
 
@@ -279,5 +285,5 @@
         "draining": run.draining,
         "ended": run.ended,
         "silent": run.silent,
-        "heard_ago_s": round(now_s - entry.heard_s, 3),
+        "heard_ago_s": round(now_s - entry.last_report_s, 3),
     }
--- a/src/agatethread/registry/_home.py
+++ b/src/agatethread/registry/_own_domain.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterable, Sequence
 
 from agatethread.observability import Event, make_logger
-from agatethread.registry._following import FOLLOWED_COUNT
-from agatethread.registry._link import HubLink
+from agatethread.registry._control_link import ControlLink
+from agatethread.registry._selection import FOLLOWED_COUNT
 
 #: Control instances of the own failure domain that suffice; tolerates loss of one.
 OWN_DOMAIN_COUNT = 2
@@ -29,13 +29,13 @@
 
 
 def choose_own_domain(
-    live: Iterable[HubLink], failure_domain: str, may_be_incomplete: bool = False
-) -> list[HubLink]:
+    live: Iterable[ControlLink], failure_domain: str, may_be_incomplete: bool = False
+) -> list[ControlLink]:
     """Return the control instances of the own failure domain to follow alone.
 
     Parameters
     ----------
-    live : iterable of HubLink
+    live : iterable of ControlLink
         Reachable control instances.
     failure_domain : str
         Failure domain of the entry instance.
@@ -44,7 +44,7 @@
 
     Returns
     -------
-    list of HubLink
+    list of ControlLink
         `OWN_DOMAIN_COUNT` of them, the same ones at all entry instances; empty if
         fewer hear a leader, know every backend server and have sent them.
     """
@@ -58,22 +58,22 @@
     return own_domain[:OWN_DOMAIN_COUNT] if len(own_domain) >= OWN_DOMAIN_COUNT else []
 
 
-def _has_full_state(link: HubLink, may_be_incomplete: bool = False) -> bool:
+def _has_full_state(link: ControlLink, may_be_incomplete: bool = False) -> bool:
     """Return whether a control instance has the full state and has sent it."""
     is_synchronized = link.complete or may_be_incomplete
     return link.hears_leader and link.settled and is_synchronized
 
 
 def count_other_instances(
-    links: Iterable[HubLink], live: Iterable[HubLink], failure_domain: str
+    links: Iterable[ControlLink], live: Iterable[ControlLink], failure_domain: str
 ) -> int:
     """Return the number of control instances of other failure domains to follow.
 
     Parameters
     ----------
-    links : iterable of HubLink
+    links : iterable of ControlLink
         All known control instances.
-    live : iterable of HubLink
+    live : iterable of ControlLink
         Reachable control instances.
     failure_domain : str
         Failure domain of the entry instance.
@@ -95,7 +95,7 @@
 
 
 def find_unreachable_controls(
-    own_domain: Sequence[HubLink], live: Iterable[HubLink]
+    own_domain: Sequence[ControlLink], live: Iterable[ControlLink]
 ) -> set[bytes]:
     """Return the control instances that only other failure domains reach.
 
@@ -103,9 +103,9 @@
 
     Parameters
     ----------
-    own_domain : sequence of HubLink
+    own_domain : sequence of ControlLink
         Control instances of the own failure domain.
-    live : iterable of HubLink
+    live : iterable of ControlLink
         All reachable control instances.
 
     Returns
@@ -124,24 +124,24 @@
 
 
 def add_own_domain(
-    followed: Sequence[HubLink], live: Iterable[HubLink], failure_domain: str
-) -> list[HubLink]:
+    followed: Sequence[ControlLink], live: Iterable[ControlLink], failure_domain: str
+) -> list[ControlLink]:
     """Return the followed control instances with more of the own failure domain.
 
     Only followed instances can show that the own failure domain suffices again.
 
     Parameters
     ----------
-    followed : sequence of HubLink
+    followed : sequence of ControlLink
         Followed control instances.
-    live : iterable of HubLink
+    live : iterable of ControlLink
         Reachable control instances.
     failure_domain : str
         Failure domain of the entry instance.
 
     Returns
     -------
-    list of HubLink
+    list of ControlLink
         With `OWN_DOMAIN_COUNT` of the own failure domain, if as many are reachable.
     """
     own_domain = [link for link in followed if link.failure_domain == failure_domain]
@@ -157,14 +157,16 @@
     return [*followed, *added[:missing_count]]
 
 
-def has_self_sufficient_domain(failure_domain: str, others: Iterable[HubLink]) -> bool:
+def has_self_sufficient_domain(
+    failure_domain: str, others: Iterable[ControlLink]
+) -> bool:
     """Return whether some failure domain has enough control instances of its own.
 
     Parameters
     ----------
     failure_domain : str
         Failure domain of this control instance.
-    others : iterable of HubLink
+    others : iterable of ControlLink
         Other control instances.
 
     Returns
@@ -196,17 +198,17 @@
         self._first_reply_s: float | None = None
         self._is_sufficient = False
 
-    def choose(self, live: Sequence[HubLink]) -> list[HubLink]:
+    def choose(self, live: Sequence[ControlLink]) -> list[ControlLink]:
         """Return the control instances of the own failure domain, if they suffice.
 
         Parameters
         ----------
-        live : sequence of HubLink
+        live : sequence of ControlLink
             Reachable control instances.
 
         Returns
         -------
-        list of HubLink
+        list of ControlLink
             Empty if other failure domains have to be followed, too.
         """
         now_s = self._now_s()
@@ -222,7 +224,7 @@
             self._log_change(own_domain, live)
         return own_domain
 
-    def _judge(self, live: Sequence[HubLink], now_s: float) -> list[HubLink]:
+    def _judge(self, live: Sequence[ControlLink], now_s: float) -> list[ControlLink]:
         is_initial_sync = now_s - self._first_reply_s < _INITIAL_SYNC_TIMEOUT_S
         own_domain = choose_own_domain(live, self._failure_domain, is_initial_sync)
         if own_domain and not find_unreachable_controls(own_domain, live):
@@ -241,7 +243,7 @@
         )
 
     def _log_change(
-        self, own_domain: Sequence[HubLink], live: Sequence[HubLink]
+        self, own_domain: Sequence[ControlLink], live: Sequence[ControlLink]
     ) -> None:
         if own_domain:
             followed = [link.address.hex() for link in own_domain]
--- a/src/agatethread/registry/_presence.py
+++ b/src/agatethread/registry/_presence.py
@@ -17,11 +17,11 @@
 _SERVING_TIMEOUT_S = 2.0
 
 
-class Subscriber(Protocol):
+class PollingInstance(Protocol):
     """Fields of a polling instance that are used here."""
 
     failure_domain: str
-    heard_s: float
+    last_poll_s: float
     presence: Presence
 
 
@@ -53,7 +53,7 @@
 
 
 #: Rank before the first reply of a control instance.
-NO_RANK = EntryRank(0, 0)
+UNKNOWN_RANK = EntryRank(0, 0)
 
 
 def rank_entries(
@@ -106,7 +106,7 @@
 
     Parameters
     ----------
-    hubs : iterable of HubLink
+    hubs : iterable of ControlLink
         Control instances that report them.
 
     Returns
@@ -122,13 +122,13 @@
 
 
 def count_domain(
-    subscribers: Mapping[bytes, Subscriber], address: bytes, now_s: float
+    subscribers: Mapping[bytes, PollingInstance], address: bytes, now_s: float
 ) -> DomainCounts:
     """Return counts of the other entry instances of a subscriber's failure domain.
 
     Parameters
     ----------
-    subscribers : mapping of bytes to Subscriber
+    subscribers : mapping of bytes to PollingInstance
         All subscribers by packed address.
     address : bytes
         Packed address of the requesting subscriber.
@@ -148,7 +148,7 @@
         if other.presence == PRESENCE_UNKNOWN:
             continue
         counts.others += 1
-        if now_s - other.heard_s > _SERVING_TIMEOUT_S:
+        if now_s - other.last_poll_s > _SERVING_TIMEOUT_S:
             counts.away += 1
         elif other.presence == PRESENCE_LEAVING:
             counts.ahead += other_address < address
--- a/src/agatethread/registry/_knocking.py
+++ b/src/agatethread/registry/_probing.py
@@ -3,9 +3,9 @@
 import random
 from collections.abc import Callable, Iterable, Sequence
 
-from agatethread.registry._following import FOLLOWED_COUNT
-from agatethread.registry._home import OWN_DOMAIN_COUNT
-from agatethread.registry._link import HubLink
+from agatethread.registry._control_link import ControlLink
+from agatethread.registry._own_domain import OWN_DOMAIN_COUNT
+from agatethread.registry._selection import FOLLOWED_COUNT
 
 #: Interval between probes of a control instance that did not answer.
 _PROBE_INTERVAL_S = 0.4
@@ -41,8 +41,8 @@
         self,
         failure_domain: str,
         is_control: bool,
-        links: Callable[[], Iterable[HubLink]],
-        send_probe: Callable[[HubLink], None],
+        links: Callable[[], Iterable[ControlLink]],
+        send_probe: Callable[[ControlLink], None],
         now_s: Callable[[], float],
     ):
         self._failure_domain = failure_domain
@@ -50,14 +50,14 @@
         self._links = links
         self._send_probe = send_probe
         self._now_s = now_s
-        self._watched: HubLink | None = None
+        self._watched: ControlLink | None = None
 
-    def probe_unfollowed(self, followed: Sequence[HubLink]) -> None:
+    def probe_unfollowed(self, followed: Sequence[ControlLink]) -> None:
         """Send probes to some control instances that are not followed.
 
         Parameters
         ----------
-        followed : sequence of HubLink
+        followed : sequence of ControlLink
             Followed control instances.
         """
         pause_s = _PROBE_INTERVAL_S if followed else _URGENT_PROBE_INTERVAL_S
@@ -66,7 +66,7 @@
         self._probe_some(others, pause_s, limit_count)
 
     def _probe_some(
-        self, links: Sequence[HubLink], pause_s: float, limit_count: int | None
+        self, links: Sequence[ControlLink], pause_s: float, limit_count: int | None
     ) -> None:
         now_s = self._now_s()
         due = [link for link in links if now_s - link.probed_s >= pause_s]
@@ -74,14 +74,14 @@
         for link in due[:limit_count]:
             self._send_probe(link)
 
-    def probe_own_domain(self, followed: Sequence[HubLink]) -> None:
+    def probe_own_domain(self, followed: Sequence[ControlLink]) -> None:
         """Send probes within the own failure domain if too few of it are followed.
 
         An instance there stays reachable during a partition, and two may suffice alone.
 
         Parameters
         ----------
-        followed : sequence of HubLink
+        followed : sequence of ControlLink
             Followed control instances.
         """
         domain = self._failure_domain
@@ -90,7 +90,7 @@
         if len(own_domain) - len(missing) < OWN_DOMAIN_COUNT:
             self._probe_some(missing, _OWN_DOMAIN_PROBE_INTERVAL_S, None)
 
-    def probe_other_domains(self, followed: Sequence[HubLink]) -> None:
+    def probe_other_domains(self, followed: Sequence[ControlLink]) -> None:
         """Send probes to control instances of other failure domains in turn.
 
         If one does not answer, sends probes to several others at the next poll, to
@@ -98,7 +98,7 @@
 
         Parameters
         ----------
-        followed : sequence of HubLink
+        followed : sequence of ControlLink
             Followed control instances, all of the own failure domain.
         """
         now_s = self._now_s()
@@ -117,7 +117,7 @@
             self._send_probe(self._watched)
 
 
-def _is_unanswered(link: HubLink, now_s: float) -> bool:
+def _is_unanswered(link: ControlLink, now_s: float) -> bool:
     return (
         link.last_reply_s < link.requested_s
         and now_s - link.requested_s >= _REPLY_TIMEOUT_S
--- a/src/agatethread/registry/_hub.py
+++ b/src/agatethread/registry/_publisher.py
@@ -5,19 +5,23 @@
 from collections.abc import Callable, Iterable, Iterator
 
 from agatethread.registry._chunks import RoutesOffer, split_routes
+from agatethread.registry._control_link import ControlLink
 from agatethread.registry._deltas import DeltaWriter
-from agatethread.registry._home import has_self_sufficient_domain
-from agatethread.registry._link import HubLink
 from agatethread.registry._memory import KnownEntry
+from agatethread.registry._own_domain import has_self_sufficient_domain
 from agatethread.registry._presence import (
-    NO_RANK,
+    UNKNOWN_RANK,
     EntryRank,
     count_domain,
     count_entries_by_domain,
     rank_entries,
 )
-from agatethread.registry._rounds import MAX_ROUND_MESSAGES, next_limit, order_round
 from agatethread.registry._runs import RunTable
+from agatethread.registry._send_rounds import (
+    MAX_ROUND_MESSAGES,
+    next_limit,
+    order_round,
+)
 from agatethread.registry._sightings import SightingPool
 from agatethread.registry._subscribers import Subscriber, describe_all, list_controls
 from agatethread.registry._waiting import IndexWaiters
@@ -43,7 +47,7 @@
 Send = Callable[[RegistryMessage, bytes], None]
 
 
-class RegistryHub:
+class RegistryPublisher:
     """Sends changes to entry instances and to other control instances.
 
     Parameters
@@ -97,7 +101,7 @@
         #: Adds dispatchers to a reply, where dispatching is enabled.
         self.add_dispatchers: Callable[[HubState, Subscriber], None] = lambda *_: None
         #: Returns the other reachable control instances.
-        self.list_hubs: Callable[[], Iterable[HubLink]] = tuple
+        self.list_other_controls: Callable[[], Iterable[ControlLink]] = tuple
 
     def offer_routes(self, offer: RoutesOffer) -> None:
         """Send a routing table to each subscriber that has an older one.
@@ -115,7 +119,7 @@
             for address, subscriber in self._expected.items():
                 self._send_routes(subscriber, address)
 
-    def entries(self) -> tuple[KnownEntry, ...]:
+    def known_entries(self) -> tuple[KnownEntry, ...]:
         """Return the known entry instances.
 
         Returns
@@ -169,7 +173,7 @@
             Packed address of the subscriber.
         """
         if poll.probe and not poll.wants_reply:
-            # Unsubscribed: `spread` must not wait for its acknowledgement.
+            # Unsubscribed: `flush_and_wait` must not wait for its acknowledgement.
             self._subscribers.pop(address, None)
             self._notify_waiters()
             return
@@ -192,13 +196,13 @@
         subscriber.takes_numbers = poll.takes_numbers
         subscriber.dispatchers_digest = poll.dispatchers_digest
         subscriber.evacuations_version = poll.evacuations_version
-        subscriber.heard_s = self._now_s()
+        subscriber.last_poll_s = self._now_s()
         if poll.wants_reply:
             self._reply(subscriber, address)
         self._send_routes(subscriber, address)
         self._notify_waiters()
 
-    def tell_soon(self) -> None:
+    def flush_soon(self) -> None:
         """Send pending changes, unless the last round was too recent.
 
         In that case the next regular call of `flush` sends them.
@@ -217,7 +221,9 @@
         self._remove_expired(now_s)
         # Most subscribers have the same index and share the messages.
         prepared: dict[tuple[int, bool, bool], list[RegistryMessage]] = {}
-        ordered = order_round(self.in_sight(), self._failure_domain, self._next_address)
+        ordered = order_round(
+            self.reachable_subscribers(), self._failure_domain, self._next_address
+        )
         for address, subscriber in ordered:
             if self._sent_count >= self._limit_count:
                 self._next_address = address
@@ -234,17 +240,19 @@
     def _rank_entries(self) -> None:
         entries = [
             (subscriber.failure_domain, address)
-            for address, subscriber in self.entries_in_sight()
+            for address, subscriber in self.reachable_entries()
         ]
         self._own_domain_count = sum(
             domain == self._failure_domain for domain, _ in entries
         )
-        self._ranks = rank_entries(entries, count_entries_by_domain(self.list_hubs()))
+        self._ranks = rank_entries(
+            entries, count_entries_by_domain(self.list_other_controls())
+        )
 
     def _remove_expired(self, now_s: float) -> None:
         oldest_s = now_s - _SUBSCRIBER_RETENTION_S
         for address, subscriber in list(self._subscribers.items()):
-            if subscriber.heard_s < oldest_s:
+            if subscriber.last_poll_s < oldest_s:
                 del self._subscribers[address]
 
     def _reply(self, subscriber: Subscriber, address: bytes) -> None:
@@ -257,7 +265,7 @@
         messages = messages[: max(1, self._limit_count - self._sent_count)]
         self._sent_count += len(messages)
         self._add_reply_fields(messages[-1].delta)
-        rank = self._ranks.get(address, NO_RANK)
+        rank = self._ranks.get(address, UNKNOWN_RANK)
         if subscriber.is_control:
             # Other control instances use this count in their ranking.
             rank = EntryRank(0, self._own_domain_count)
@@ -299,7 +307,7 @@
         for chunk in self._chunks:
             self._send(chunk, address)
 
-    def entries_in_sight(self) -> Iterator[tuple[bytes, Subscriber]]:
+    def reachable_entries(self) -> Iterator[tuple[bytes, Subscriber]]:
         """Yield the entry instances that receive changes.
 
         Yields
@@ -307,15 +315,15 @@
         tuple of (bytes, Subscriber)
             Packed address and subscriber.
         """
-        for address, subscriber in self.in_sight():
+        for address, subscriber in self.reachable_subscribers():
             if not subscriber.is_control:
                 yield address, subscriber
 
-    def in_sight(self) -> Iterator[tuple[bytes, Subscriber]]:
+    def reachable_subscribers(self) -> Iterator[tuple[bytes, Subscriber]]:
         """Yield the instances of both roles that receive changes."""
         oldest_s = self._now_s() - _SUBSCRIBER_LEASE_S
         for address, subscriber in self._subscribers.items():
-            if subscriber.heard_s >= oldest_s:
+            if subscriber.last_poll_s >= oldest_s:
                 yield address, subscriber
 
     def on_sightings(self, sightings: Sightings, address: bytes) -> None:
@@ -337,7 +345,7 @@
         elif domain != self._failure_domain:
             self._sightings.take_sums(domain, sightings.runs, now_s)
 
-    def tell_sightings(self) -> None:
+    def send_sightings(self) -> None:
         """Send the digest of all sightings to entry instances, ten times a second.
 
         Control instances of other failure domains receive the sums of this one, if some
@@ -347,26 +355,28 @@
         digest = self._sightings.digest(now_s)
         if digest.runs:
             message = RegistryMessage(sightings=digest)
-            for address, _ in self.entries_in_sight():
+            for address, _ in self.reachable_entries():
                 self._send(message, address)
-        if not has_self_sufficient_domain(self._failure_domain, self.list_hubs()):
+        if not has_self_sufficient_domain(
+            self._failure_domain, self.list_other_controls()
+        ):
             return
         sums = self._sightings.sum_up_domain(self._failure_domain, now_s)
         if sums.runs:
             message = RegistryMessage(sightings=sums)
-            for address, subscriber in self.in_sight():
+            for address, subscriber in self.reachable_subscribers():
                 if (
                     subscriber.is_control
                     and subscriber.failure_domain != self._failure_domain
                 ):
                     self._send(message, address)
 
-    async def spread(self, limit_s: float) -> bool:
+    async def flush_and_wait(self, timeout_s: float) -> bool:
         """Send all changes and wait until every reachable subscriber has them.
 
         Parameters
         ----------
-        limit_s : float
+        timeout_s : float
             Timeout.
 
         Returns
@@ -377,7 +387,7 @@
         waiting = self._waiters.add(self._runs.index)
         self.flush()
         try:
-            await asyncio.wait_for(waiting, limit_s)
+            await asyncio.wait_for(waiting, timeout_s)
         except TimeoutError:
             return False
         return True
@@ -385,7 +395,9 @@
     def _notify_waiters(self) -> None:
         if not self._waiters:
             return
-        seen_indexes = [subscriber.seen_index for _, subscriber in self.in_sight()]
+        seen_indexes = [
+            subscriber.seen_index for _, subscriber in self.reachable_subscribers()
+        ]
         self._waiters.settle(min(seen_indexes, default=self._runs.index))
 
     def dump(self) -> list[dict[str, object]]:
--- a/src/agatethread/registry/_run_logs.py
+++ b/src/agatethread/registry/_run_logs.py
@@ -31,7 +31,7 @@
         started_ms=report.started_ms,
         why=verdict.value,
         holder=holder.run.id if holder else None,
-        holder_heard_ago_s=round(now_s - holder.heard_s, 3) if holder else None,
+        holder_heard_ago_s=round(now_s - holder.last_report_s, 3) if holder else None,
     )
 
 
--- a/src/agatethread/registry/_runs.py
+++ b/src/agatethread/registry/_runs.py
@@ -71,7 +71,7 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def find(self, run_id: str) -> BackendRun | None:
+    def get(self, run_id: str) -> BackendRun | None:
         """Return the newest run of an id.
 
         Parameters
@@ -145,7 +145,7 @@
         )
 
     def _to_known(self, entry: RunEntry | None) -> Known | None:
-        return Known(entry.run, self._now_s() - entry.heard_s) if entry else None
+        return Known(entry.run, self._now_s() - entry.last_report_s) if entry else None
 
     def _get_or_admit(self, report: Report, verdict: Verdict) -> RunEntry | None:
         """Return the existing or new entry of an accepted report, else None."""
@@ -169,13 +169,13 @@
 
     def _refresh(self, entry: RunEntry, report: Report) -> bool:
         run = entry.run
-        is_new = entry.heard_s == 0.0
+        is_new = entry.last_report_s == 0.0
         draining = run.draining or report.draining
         warm_up_ms = int(report.warm_up_s * 1000)
         # A server that received no work for long may need to warm up again.
         is_colder = warm_up_ms > run.warm_up_ms
         changed = is_new or run.silent or draining != run.draining or is_colder
-        entry.heard_s = self._now_s()
+        entry.last_report_s = self._now_s()
         run.sequence = report.sequence
         run.slots = report.slots
         run.draining = draining
@@ -186,7 +186,7 @@
             log_reports(run, is_new)
         return changed
 
-    def leave(self, run_id: str, started_ms: int = START_NOT_TOLD) -> bool:
+    def end_run(self, run_id: str, started_ms: int = START_NOT_TOLD) -> bool:
         """Mark a run as ended by its own request.
 
         Parameters
@@ -212,7 +212,7 @@
             raise ReportRefusedError(run_id, "it may be the end of an earlier run")
         return changed
 
-    def take(self, run: BackendRun) -> bool:
+    def apply_peer_run(self, run: BackendRun) -> bool:
         """Apply the state of a run at another control instance.
 
         Parameters
@@ -239,7 +239,7 @@
         entry.run.silent = run.silent
         return changed
 
-    def take_number(
+    def apply_numbered_report(
         self, number: int, sequence: int, starts: Mapping[str, int]
     ) -> bool:
         """Apply a report that another control instance sent by run number.
@@ -295,7 +295,7 @@
     def _end(self, entry: RunEntry, reason: str) -> None:
         run = entry.run
         run.ended = True
-        entry.heard_s = self._now_s()
+        entry.last_report_s = self._now_s()
         self._entries.release_address(entry)
         self._mark_changed(entry)
         log_ended(run, reason)
@@ -305,7 +305,7 @@
         self.changed_index = self.index
         self._entries.mark_changed(entry, self.index)
 
-    def remember(self, runs: Iterable[BackendRun]) -> None:
+    def restore(self, runs: Iterable[BackendRun]) -> None:
         """Restore the runs known before a restart of this instance.
 
         Parameters
@@ -315,7 +315,7 @@
         """
         for run in runs:
             entry = self._entries.add(run)
-            entry.heard_s = self._now_s()
+            entry.last_report_s = self._now_s()
             self._mark_changed(entry)
 
     def snapshot(self) -> list[BackendRun]:
@@ -341,12 +341,12 @@
         for entry in self._entries:
             if was_suspended and not entry.run.ended:
                 # Reports sent while this process was suspended were lost.
-                entry.heard_s = now_s
+                entry.last_report_s = now_s
             self._sweep_entry(entry, now_s)
 
     def _sweep_entry(self, entry: RunEntry, now_s: float) -> None:
         run = entry.run
-        age_s = now_s - entry.heard_s
+        age_s = now_s - entry.last_report_s
         if run.ended:
             if age_s > KEPT_S:
                 self._entries.remove(entry)
--- a/src/agatethread/registry/_following.py
+++ b/src/agatethread/registry/_selection.py
@@ -1,15 +1,15 @@
 """Selects the control instances that an entry instance follows.
 
-Two of the own failure domain where these suffice, see `_home`; else one of the own
-failure domain and two of others, so that updates survive the loss of an instance or a
-network partition. Instances with a leader are preferred: only they receive new routing
-tables.
+Two of the own failure domain where these suffice, see `_own_domain`; else one of the
+own failure domain and two of others, so that updates survive the loss of an instance
+or a network partition. Instances with a leader are preferred: only they receive new
+routing tables.
 """
 
 from collections.abc import Iterable, Sequence
 
-from agatethread.registry._link import HubLink
-from agatethread.registry._presence import NO_RANK, EntryRank
+from agatethread.registry._control_link import ControlLink
+from agatethread.registry._presence import UNKNOWN_RANK, EntryRank
 
 #: Time within which a polled control instance may still answer.
 _POLL_REPLY_TIMEOUT_S = 0.4
@@ -20,13 +20,15 @@
 
 
 def choose_followed(
-    live: Sequence[HubLink], failure_domain: str, others_count: int = FOLLOWED_COUNT - 1
-) -> list[HubLink]:
+    live: Sequence[ControlLink],
+    failure_domain: str,
+    others_count: int = FOLLOWED_COUNT - 1,
+) -> list[ControlLink]:
     """Return the control instances to follow.
 
     Parameters
     ----------
-    live : sequence of HubLink
+    live : sequence of ControlLink
         Reachable control instances.
     failure_domain : str
         Failure domain of the entry instance.
@@ -35,12 +37,12 @@
 
     Returns
     -------
-    list of HubLink
+    list of ControlLink
         The first is of the own failure domain, if one is reachable.
     """
 
     # Does not sort by the time of the last answer, which changes at each poll.
-    def rank(link: HubLink) -> tuple[bool, bool, bytes]:
+    def rank(link: ControlLink) -> tuple[bool, bool, bytes]:
         is_other_domain = link.failure_domain != failure_domain
         return (is_other_domain, not link.complete, link.address)
 
@@ -60,12 +62,14 @@
     return first + others[:others_count]
 
 
-def follows_enough(followed: Sequence[HubLink], count: int = FOLLOWED_COUNT) -> bool:
+def follows_enough(
+    followed: Sequence[ControlLink], count: int = FOLLOWED_COUNT
+) -> bool:
     """Return whether enough control instances are followed.
 
     Parameters
     ----------
-    followed : sequence of HubLink
+    followed : sequence of ControlLink
         Followed control instances.
     count : int, optional
         Number of control instances to follow.
@@ -80,8 +84,8 @@
 
 
 def choose_routes_source(
-    followed: Sequence[HubLink], routes_version: int
-) -> HubLink | None:
+    followed: Sequence[ControlLink], routes_version: int
+) -> ControlLink | None:
     """Return the control instance that sends routing tables.
 
     Handles frequent changes of large tables: each table is sent by one instance. The
@@ -89,14 +93,14 @@
 
     Parameters
     ----------
-    followed : sequence of HubLink
+    followed : sequence of ControlLink
         Followed control instances.
     routes_version : int
         Version of the current table.
 
     Returns
     -------
-    HubLink or None
+    ControlLink or None
         None if all are asked for tables.
     """
     if any(link.routes_version > routes_version for link in followed):
@@ -105,7 +109,7 @@
 
 
 def is_cut_off(
-    links: Iterable[HubLink], live: Sequence[HubLink], failure_domain: str
+    links: Iterable[ControlLink], live: Sequence[ControlLink], failure_domain: str
 ) -> bool:
     """Return whether the own failure domain is cut off from all others.
 
@@ -114,9 +118,9 @@
 
     Parameters
     ----------
-    links : iterable of HubLink
+    links : iterable of ControlLink
         All known control instances.
-    live : sequence of HubLink
+    live : sequence of ControlLink
         Reachable control instances.
     failure_domain : str
         Failure domain of this instance.
@@ -136,7 +140,9 @@
     )
 
 
-def are_silent(links: Iterable[HubLink], failure_domain: str, now_s: float) -> bool:
+def are_other_domains_unreachable(
+    links: Iterable[ControlLink], failure_domain: str, now_s: float
+) -> bool:
     """Return whether no control instance of another failure domain answers.
 
     Counts only instances with an unanswered request. Requires two of them, since a
@@ -144,7 +150,7 @@
 
     Parameters
     ----------
-    links : iterable of HubLink
+    links : iterable of ControlLink
         All known control instances.
     failure_domain : str
         Failure domain of this instance.
@@ -165,12 +171,14 @@
     return len(unreachable) >= min(2, len(others))
 
 
-def widest_rank(live: Iterable[HubLink], failure_domain: str = "") -> EntryRank:
+def most_complete_rank(
+    live: Iterable[ControlLink], failure_domain: str = ""
+) -> EntryRank:
     """Return the rank of an entry instance among all entry instances.
 
     Parameters
     ----------
-    live : iterable of HubLink
+    live : iterable of ControlLink
         Reachable control instances.
     failure_domain : str, optional
         Failure domain of the entry instance.
@@ -179,24 +187,24 @@
     -------
     EntryRank
         Rank from the control instance that counts the most entry instances; among
-        equals one of the own failure domain. `NO_RANK` if there is none.
+        equals one of the own failure domain. `UNKNOWN_RANK` if there is none.
     """
     widest = max(
         live,
         key=lambda link: (link.rank.count, link.failure_domain == failure_domain),
         default=None,
     )
-    return widest.rank if widest else NO_RANK
+    return widest.rank if widest else UNKNOWN_RANK
 
 
-def has_additional_state(link: HubLink, others: Sequence[HubLink]) -> bool:
+def has_additional_state(link: ControlLink, others: Sequence[ControlLink]) -> bool:
     """Return whether a control instance has state that none of the others has.
 
     Parameters
     ----------
-    link : HubLink
+    link : ControlLink
         Control instance to compare.
-    others : sequence of HubLink
+    others : sequence of ControlLink
         Other control instances.
 
     Returns
@@ -210,15 +218,15 @@
 
 
 def needs_full_poll(
-    link: HubLink, live: Iterable[HubLink], now_s: float, routes_version: int
+    link: ControlLink, live: Iterable[ControlLink], now_s: float, routes_version: int
 ) -> bool:
     """Return whether to request the full state of a control instance that answered.
 
     Parameters
     ----------
-    link : HubLink
+    link : ControlLink
         Control instance that answered a probe or sent a greeting.
-    live : iterable of HubLink
+    live : iterable of ControlLink
         Reachable control instances.
     now_s : float
         Current time.
--- a/src/agatethread/registry/_subscribers.py
+++ b/src/agatethread/registry/_subscribers.py
@@ -28,7 +28,7 @@
         "evacuations_sent_version",
         "evacuations_version",
         "failure_domain",
-        "heard_s",
+        "last_poll_s",
         "is_control",
         "presence",
         "resend_timeout_s",
@@ -49,7 +49,7 @@
         #: Digest of the dispatchers that it has.
         self.dispatchers_digest = 0
         self.presence = PRESENCE_UNKNOWN
-        self.heard_s = 0.0
+        self.last_poll_s = 0.0
         self.seen_index = 0
         self.sent_index = 0
         #: Time since which it has not acknowledged the changes sent.
@@ -186,7 +186,7 @@
     return [
         ControlNode(address=address, failure_domain=subscriber.failure_domain)
         for address, subscriber in subscribers.items()
-        if subscriber.is_control and now_s - subscriber.heard_s < _CONTROL_TIMEOUT_S
+        if subscriber.is_control and now_s - subscriber.last_poll_s < _CONTROL_TIMEOUT_S
     ]
 
 
@@ -214,7 +214,7 @@
             "seen_index": subscriber.seen_index,
             "routes_version": subscriber.routes_version,
             "evacuations_version": subscriber.evacuations_version,
-            "heard_ago_s": round(now_s - subscriber.heard_s, 3),
+            "heard_ago_s": round(now_s - subscriber.last_poll_s, 3),
         }
         for address, subscriber in subscribers.items()
     ]
--- a/src/agatethread/registry/_subscription.py
+++ b/src/agatethread/registry/_subscription.py
@@ -1,6 +1,6 @@
 """Polls control instances, and receives their state.
 
-An entry instance follows some control instances, see `_following`; a control instance
+An entry instance follows some control instances, see `_selection`; a control instance
 follows all others.
 """
 
@@ -8,22 +8,22 @@
 
 from agatethread.observability import Counters, Event, make_logger
 from agatethread.registry._chunks import ChunkedTable
+from agatethread.registry._control_link import ControlLink
 from agatethread.registry._evacuations import EvacuationPublisher, KnownEvacuations
-from agatethread.registry._following import (
-    choose_followed,
-    choose_routes_source,
-    follows_enough,
-    needs_full_poll,
-)
-from agatethread.registry._home import (
+from agatethread.registry._own_domain import (
     OwnDomainChoice,
     add_own_domain,
     count_other_instances,
 )
-from agatethread.registry._knocking import Prober
-from agatethread.registry._link import HubLink
 from agatethread.registry._presence import DomainView, merge_counts
+from agatethread.registry._probing import Prober
 from agatethread.registry._report import START_NOT_TOLD
+from agatethread.registry._selection import (
+    choose_followed,
+    choose_routes_source,
+    follows_enough,
+    needs_full_poll,
+)
 from agatethread.wire.registry_pb2 import (
     PRESENCE_UNKNOWN,
     BackendRun,
@@ -106,20 +106,22 @@
         self.presence: Presence = PRESENCE_UNKNOWN
         self.routes_version = 0
         #: Control instance that sends routing tables; None while all are asked.
-        self._routes_source: HubLink | None = None
+        self._routes_source: ControlLink | None = None
         #: Called for each report sent by run number, with number, sequence and the
         #: start times known to the sender; control instances receive these.
-        self.on_number: Callable[[int, int, Mapping[str, int]], None] = _ignore_report
-        self.links: dict[bytes, HubLink] = {}
+        self.on_numbered_report: Callable[[int, int, Mapping[str, int]], None] = (
+            _ignore_report
+        )
+        self.links: dict[bytes, ControlLink] = {}
         self._own_domain_choice = OwnDomainChoice(failure_domain, now_s)
-        self._followed: list[HubLink] = []
+        self._followed: list[ControlLink] = []
         self._prober = Prober(
             failure_domain, is_control, self.links.values, self._send_probe, now_s
         )
         for seed in seeds:
-            self.meet(seed, "")
+            self.add_control(seed, "")
 
-    def meet(self, address: bytes, failure_domain: str) -> None:
+    def add_control(self, address: bytes, failure_domain: str) -> None:
         """Add a control instance.
 
         Parameters
@@ -133,30 +135,30 @@
             return
         link = self.links.get(address)
         if link is None:
-            link = self.links[address] = HubLink(address)
+            link = self.links[address] = ControlLink(address)
         link.failure_domain = failure_domain or link.failure_domain
 
-    def live(self) -> list[HubLink]:
+    def reachable_links(self) -> list[ControlLink]:
         """Return the reachable control instances.
 
         Returns
         -------
-        list of HubLink
+        list of ControlLink
             Control instances in no particular order.
         """
         oldest_s = self._now_s() - _CONTROL_LEASE_S
         return [link for link in self.links.values() if link.last_reply_s > oldest_s]
 
-    def knock_urgently(self) -> None:
+    def probe_if_unreachable(self) -> None:
         """Send probes while no control instance is reachable."""
-        if not self.live():
+        if not self.reachable_links():
             self._prober.probe_unfollowed([])
 
     def poll(self) -> None:
         """Poll the followed control instances, and probe others if needed."""
         self._mark_unreachable()
         if self._is_control:
-            followed = self.live()
+            followed = self.reachable_links()
             self._poll_followed(followed)
             self._prober.probe_unfollowed(followed)
             return
@@ -166,7 +168,7 @@
             self._poll_followed(own_domain)
             self._prober.probe_other_domains(own_domain)
             return
-        live, domain = self.live(), self._failure_domain
+        live, domain = self.reachable_links(), self._failure_domain
         others_count = count_other_instances(self.links.values(), live, domain)
         followed = choose_followed(live, domain, others_count)
         polled = add_own_domain(followed, live, domain)
@@ -176,20 +178,20 @@
         else:
             self._prober.probe_own_domain(polled)
 
-    def _choose_own_domain(self) -> list[HubLink]:
+    def _choose_own_domain(self) -> list[ControlLink]:
         """Return the own failure domain's control instances, if they suffice."""
         domain = self._failure_domain
         if all(link.failure_domain == domain for link in self.links.values()):
             return []
-        return self._own_domain_choice.choose(self.live())
+        return self._own_domain_choice.choose(self.reachable_links())
 
-    def _poll_followed(self, followed: list[HubLink]) -> None:
+    def _poll_followed(self, followed: list[ControlLink]) -> None:
         self._followed = followed
         self._routes_source = choose_routes_source(followed, self.routes_version)
         for link in followed:
             self._send_poll(link, wants_reply=True)
 
-    def _unfollow_others(self, followed: list[HubLink]) -> None:
+    def _unfollow_others(self, followed: list[ControlLink]) -> None:
         for link in self.links.values():
             was_polled = link.seen_index > 0 or link.polled_s > float("-inf")
             if was_polled and not link.is_unfollowed and link not in followed:
@@ -209,7 +211,7 @@
                     silent_s=round(self._now_s() - link.last_reply_s, 3),
                 )
 
-    def _send_probe(self, link: HubLink) -> None:
+    def _send_probe(self, link: ControlLink) -> None:
         """Send a probe to a control instance.
 
         Only control instances of the own failure domain answer a probe with their full
@@ -218,7 +220,9 @@
         link.probed_s = self._now_s()
         self._send_poll(link, wants_reply=True, probe=not self._is_control)
 
-    def _send_poll(self, link: HubLink, wants_reply: bool, probe: bool = False) -> None:
+    def _send_poll(
+        self, link: ControlLink, wants_reply: bool, probe: bool = False
+    ) -> None:
         if wants_reply:
             link.requested_s = self._now_s()
             link.unanswered_since_s = min(link.unanswered_since_s, link.requested_s)
@@ -242,11 +246,11 @@
         )
         self._send(RegistryMessage(poll=poll), link.address)
 
-    def _acknowledge(self, link: HubLink) -> None:
+    def _acknowledge(self, link: ControlLink) -> None:
         """Acknowledge received changes; unsubscribe from an unfollowed instance."""
         self._send_poll(link, wants_reply=False, probe=link.is_unfollowed)
 
-    def tell(self, sightings: list[Sighting]) -> None:
+    def send_sightings(self, sightings: list[Sighting]) -> None:
         """Send sightings of runs to the followed control instances.
 
         Parameters
@@ -274,7 +278,7 @@
             return
         link.record_message(delta, self._now_s())
         for control in delta.controls:
-            self.meet(control.address, control.failure_domain)
+            self.add_control(control.address, control.failure_domain)
         if delta.HasField("hub"):
             link.update_state(delta.hub, self._now_s())
             link.controls = frozenset(control.address for control in delta.controls)
@@ -288,19 +292,19 @@
         for run in delta.runs:
             self._receive_run(link, run)
         for number, sequence in zip(delta.reporting, delta.sequences, strict=False):
-            self.on_number(number, sequence, link.reporting)
+            self.on_numbered_report(number, sequence, link.reporting)
         if link.advance(delta):
             self._acknowledge(link)
         if delta.complete and not link.is_unfollowed:
             link.complete = True
 
-    def _on_greeting(self, link: HubLink) -> None:
+    def _on_greeting(self, link: ControlLink) -> None:
         """Request full state, unless an equivalent instance already sends it."""
         now_s = self._now_s()
-        if needs_full_poll(link, self.live(), now_s, self.routes_version):
+        if needs_full_poll(link, self.reachable_links(), now_s, self.routes_version):
             self._send_poll(link, wants_reply=True)
 
-    def _receive_run(self, link: HubLink, run: BackendRun) -> None:
+    def _receive_run(self, link: ControlLink, run: BackendRun) -> None:
         if run.ended or run.silent:
             link.reporting.pop(run.id, None)
         else:
@@ -356,9 +360,9 @@
         bool
             Whether one that knows every backend server has sent them all.
         """
-        return any(link.settled and link.complete for link in self.live())
+        return any(link.settled and link.complete for link in self.reachable_links())
 
-    def domain_view(self, since_s: float) -> DomainView | None:
+    def own_domain_view(self, since_s: float) -> DomainView | None:
         """Return counts of the other entry instances of the own failure domain.
 
         Parameters
@@ -391,7 +395,9 @@
         bool
             True also if no reachable control instance has the full state.
         """
-        informed = [link for link in self.live() if link.settled and link.complete]
+        informed = [
+            link for link in self.reachable_links() if link.settled and link.complete
+        ]
         if not informed:
             return True
         return any(link.reporting.get(run_id) == started_ms for link in informed)
--- a/tests/control/test_hints.py
+++ b/tests/control/test_hints.py
@@ -12,7 +12,7 @@
     def setUp(self):
         self.runs = mock.Mock(changed_index=1)
         self.hub = mock.Mock()
-        self.hub.entries.return_value = (b"entry",)
+        self.hub.known_entries.return_value = (b"entry",)
         self.tasks = []
         self.saver = HintSaver("folder", self.runs, self.hub, lambda: None, self.spawn)
 
@@ -43,7 +43,7 @@
         """A new entry instance is saved; an unchanged list is not written again."""
         with mock.patch("agatethread.control._hints.save_hints") as save:
             for entries in ((b"1",), (b"1",), (b"1", b"2")):
-                self.hub.entries.return_value = entries
+                self.hub.known_entries.return_value = entries
                 self.saver.save()
                 await asyncio.gather(*self.tasks)
         saved = [call.args[2] for call in save.call_args_list]
--- a/tests/control/test_policies.py
+++ b/tests/control/test_policies.py
@@ -62,7 +62,7 @@
         """Without the policy no timer for urgent requests is started."""
         control, greeted, calls = await self.start("asks_urgently")
         self.assertEqual(greeted, [KnownEntry(address(9), "a")])
-        self.assertNotIn(control.subscription.knock_urgently, calls)
+        self.assertNotIn(control.subscription.probe_if_unreachable, calls)
 
     async def test_stop_during_log_port_load_leaves_no_listener(self):
         """After a stop while the log port is loaded, nothing listens."""
--- a/tests/control/test_routing_control.py
+++ b/tests/control/test_routing_control.py
@@ -237,14 +237,14 @@
         await fleet.put(document(3))
         report = Report("i-1", 1, "tab", address(1), "domain-0", 2, 1)
         await fleet.running[0].report(report)
-        await fleet.until(lambda: fleet.running[1].runs.find("i-1") is not None)
+        await fleet.until(lambda: fleet.running[1].runs.get("i-1") is not None)
         await asyncio.sleep(0.8)
         for number in range(3):
             await fleet.kill(number)
         for number in range(3):
             await fleet.start(number)
         self.assertEqual(await fleet.read(), b"3")
-        self.assertIsNotNone(fleet.running[1].runs.find("i-1"))
+        self.assertIsNotNone(fleet.running[1].runs.get("i-1"))
 
     async def test_keeps_evacuation_after_disk_loss_and_restart_of_all(self):
         """An acknowledged evacuation survives each loss that must be tolerated."""
--- a/tests/datapath/test_answer_reports.py
+++ b/tests/datapath/test_answer_reports.py
@@ -6,7 +6,7 @@
 from agatethread.datapath import LabelEntryInstance, LabelEntrySettings
 from agatethread.datapath._answer_reports import AnswerReporter
 from agatethread.observability import Counters
-from agatethread.registry import HubLink, Report
+from agatethread.registry import ControlLink, Report
 from agatethread.settings import Parts
 from agatethread.wire import pack_address
 from agatethread.wire.control_pb2 import ControlMember
@@ -23,7 +23,7 @@
         for nth in (1, 2):
             self.view.update_run(run(nth))
         self.sent_messages = []
-        self.links = [HubLink(SECOND, "b"), HubLink(FIRST, "a")]
+        self.links = [ControlLink(SECOND, "b"), ControlLink(FIRST, "a")]
         self.reports = AnswerReporter(
             self.forwarder,
             self.view,
--- a/tests/datapath/test_departure.py
+++ b/tests/datapath/test_departure.py
@@ -2,7 +2,7 @@
 
 from agatethread.datapath import Departure
 from agatethread.observability import Counters
-from agatethread.registry import DomainView, RegistryHub, RunTable, Subscription
+from agatethread.registry import DomainView, RegistryPublisher, RunTable, Subscription
 from agatethread.wire.registry_pb2 import (
     PRESENCE_AWAY,
     PRESENCE_LEAVING,
@@ -101,7 +101,7 @@
         if self.departure is not None and now_s < self.leaves_s:
             self.subscription.presence = PRESENCE_LEAVING
             self.subscription.poll()
-            view = self.subscription.domain_view(self.departure.requested_s)
+            view = self.subscription.own_domain_view(self.departure.requested_s)
             if self.departure.may_leave(view):
                 self.leaves_s = now_s
                 self.ends_s = now_s + self.departure.notice_s
@@ -116,7 +116,7 @@
     def setUp(self):
         self.clock = Clock(0.0)
         self.entries = {}
-        self.hub = RegistryHub(
+        self.hub = RegistryPublisher(
             RunTable(1.0, self.clock),
             "a",
             self.answer,
--- a/tests/datapath/test_policies.py
+++ b/tests/datapath/test_policies.py
@@ -177,7 +177,7 @@
         for name, is_reported in (("shares_sightings", False), ("keeps_hints", True)):
             entry = await self.start(name)
             reports = []
-            entry.subscription.tell = reports.append
+            entry.subscription.send_sightings = reports.append
             backend = Backend(run(1))
             entry.forwarder.sightings = lambda sighting=backend: [sighting]
             entry._check_suspects()
@@ -201,4 +201,6 @@
                 await entry.start()
             calls = [call.args[1] for call in subscribe.call_args_list]
             with self.subTest(off=name):
-                self.assertEqual(entry.subscription.knock_urgently in calls, is_urgent)
+                self.assertEqual(
+                    entry.subscription.probe_if_unreachable in calls, is_urgent
+                )
--- a/tests/platform/test_roles.py
+++ b/tests/platform/test_roles.py
@@ -173,11 +173,11 @@
         self.assertEqual(await self.report(born=2_000, sequence=1), 200)
         late = await self.report(born=1_000, sequence=51, state="draining")
         self.assertEqual(late, 200)
-        run = self.control.instance.runs.find("i-7f")
+        run = self.control.instance.runs.get("i-7f")
         self.assertEqual((run.started_ms, run.draining), (2_000, False))
         await self.report(born=2_000, sequence=2, state="draining")
         await self.call_until(200, "DELETE", "/api/endpoints/i-7f")
-        self.assertTrue(self.control.instance.runs.find("i-7f").ended)
+        self.assertTrue(self.control.instance.runs.get("i-7f").ended)
 
     async def test_header_without_an_end_is_cut_off(self):
         """A caller that never ends its header gets an error and no memory."""
--- a/tests/registry/test_busy_control.py
+++ b/tests/registry/test_busy_control.py
@@ -2,7 +2,12 @@
 import unittest
 
 from agatethread.observability import Counters
-from agatethread.registry import RegistryHub, RunTable, Subscription, decode_message
+from agatethread.registry import (
+    RegistryPublisher,
+    RunTable,
+    Subscription,
+    decode_message,
+)
 from tests.fakes import Clock, address
 from tests.registry.test_runs import INTERVAL_S, report
 
@@ -28,7 +33,7 @@
         for number in range(1, run_count + 1):
             self.runs.report(report(number, place=number))
         self.reports_per_step = run_count / 3 / INTERVAL_S * STEP_S
-        self.hub = RegistryHub(
+        self.hub = RegistryPublisher(
             self.runs, "a", self.send, self.clock, lambda: True, lambda: True
         )
         self.entries = {}
--- a/tests/registry/test_cut_off.py
+++ b/tests/registry/test_cut_off.py
@@ -1,14 +1,14 @@
 import unittest
 
-from agatethread.registry._following import is_cut_off
-from agatethread.registry._link import HubLink
+from agatethread.registry._control_link import ControlLink
+from agatethread.registry._selection import is_cut_off
 from tests.fakes import address
 from tests.registry.worlds import World
 
 
 def link(number, domain, hears_leader=False):
     """Return the link to one control instance."""
-    return HubLink(address(number), domain, hears_leader=hears_leader)
+    return ControlLink(address(number), domain, hears_leader=hears_leader)
 
 
 class TestIsCutOff(unittest.TestCase):
@@ -53,4 +53,6 @@
         self.assertFalse(self.judge_world(world))
 
     def judge_world(self, world):
-        return is_cut_off(world.entry.links.values(), world.entry.live(), "a")
+        return is_cut_off(
+            world.entry.links.values(), world.entry.reachable_links(), "a"
+        )
--- a/tests/registry/test_dispatchers.py
+++ b/tests/registry/test_dispatchers.py
@@ -1,12 +1,12 @@
 import unittest
 
 from agatethread.registry import DispatcherDirectory, merge_dispatchers
+from agatethread.registry._control_link import ControlLink
 from agatethread.registry._dispatchers import (
     choose_for_domain,
     count_slots,
     list_serving_at_peers,
 )
-from agatethread.registry._link import HubLink
 from agatethread.registry._subscribers import Subscriber
 from agatethread.wire.registry_pb2 import (
     PRESENCE_LEAVING,
@@ -17,20 +17,20 @@
 from tests.fakes import Clock, address
 
 
-def entry(domain="a", presence=PRESENCE_SERVING, heard_s=1_000.0):
+def entry(domain="a", presence=PRESENCE_SERVING, last_poll_s=1_000.0):
     """Return an entry instance as a control instance knows it."""
     subscriber = Subscriber()
-    subscriber.failure_domain, subscriber.presence, subscriber.heard_s = (
+    subscriber.failure_domain, subscriber.presence, subscriber.last_poll_s = (
         domain,
         presence,
-        heard_s,
+        last_poll_s,
     )
     return subscriber
 
 
 def link(number, domain, reported_s=1_000.0, **dispatchers):
     """Return a control instance that reported dispatchers by failure domain."""
-    control = HubLink(address(number), domain)
+    control = ControlLink(address(number), domain)
     control.dispatchers = tuple(
         Dispatchers(
             failure_domain=name,
@@ -39,7 +39,7 @@
         )
         for name, numbers in dispatchers.items()
     )
-    control.dispatchers_told_s = reported_s
+    control.dispatchers_received_s = reported_s
     return control
 
 
@@ -57,7 +57,7 @@
         entries += [
             (address(20), entry("b")),
             (address(21), entry(presence=PRESENCE_LEAVING)),
-            (address(22), entry(heard_s=998.9)),
+            (address(22), entry(last_poll_s=998.9)),
         ]
         chosen = choose_for_domain("a", entries, 4, 1_000.0)
         self.assertEqual(chosen.entry_count, 8)
@@ -71,7 +71,10 @@
         chosen = []
         for own, others in (halves, halves[::-1]):
             peer = link(1, "a")
-            peer.serving, peer.serving_told_s = [place for place, _ in others], 1_000.0
+            peer.serving, peer.serving_received_s = (
+                [place for place, _ in others],
+                1_000.0,
+            )
             at_peers = list_serving_at_peers("a", [peer], 1_000.0)
             chosen.append(choose_for_domain("a", own, 60, 1_000.0, at_peers))
         self.assertEqual(chosen[0], chosen[1])
@@ -115,7 +118,7 @@
 
 class TestDirectory(unittest.TestCase):
     def make(self, links, clock):
-        entries = [(address(n), entry(heard_s=clock() + 5.0)) for n in range(8)]
+        entries = [(address(n), entry(last_poll_s=clock() + 5.0)) for n in range(8)]
         runs = [BackendRun(failure_domain="a", slots=40)]
         return DispatcherDirectory(
             "a", lambda: entries, lambda: runs, lambda: links, clock
--- a/tests/registry/test_evacuations.py
+++ b/tests/registry/test_evacuations.py
@@ -101,7 +101,7 @@
         world = World(("a", "a", "b", "b"))
         world.step(30)
         publisher = world.publishers[address(2)]
-        self.assertEqual(len(list(world.hub(2).entries_in_sight())), 0)
+        self.assertEqual(len(list(world.hub(2).reachable_entries())), 0)
         home = address(0), address(1)
         world.cut_pairs = {frozenset((world.entry_address, place)) for place in home}
         world.evacuate(7, "b")
--- a/tests/registry/test_many_subscribers.py
+++ b/tests/registry/test_many_subscribers.py
@@ -3,7 +3,7 @@
 from unittest import mock
 
 from agatethread.registry import (
-    RegistryHub,
+    RegistryPublisher,
     RunTable,
 )
 from agatethread.registry._entries import last_index
@@ -21,7 +21,7 @@
         self.table = RunTable(INTERVAL_S, self.clock)
         for number in range(1, 3_001):
             self.table.report(report(number, place=number))
-        self.hub = RegistryHub(
+        self.hub = RegistryPublisher(
             self.table,
             "a",
             lambda message, target: self.sent.append((message, target)),
@@ -59,7 +59,7 @@
         self.clock.value_s += 0.2
         for number in range(1, 101):
             self.table.report(report(number, 2, number, draining=True))
-            self.hub.tell_soon()
+            self.hub.flush_soon()
         self.assertLess(len(self.sent), 2 * 297)
         self.clock.value_s += 0.1
         self.hub.flush()
@@ -79,7 +79,7 @@
         for number in range(1, 11):
             self.clock.value_s += 0.001
             self.table.report(report(number, 2, number, draining=True))
-            self.hub.tell_soon()
+            self.hub.flush_soon()
             self.assertEqual(len(self.sent), 7 * number)
 
     def test_limits_a_round_and_continues_in_the_next(self):
@@ -119,5 +119,5 @@
         self.table.report(report(1, sequence=2, draining=True))
         for _ in range(20):
             self.clock.value_s += 0.02
-            self.hub.tell_soon()
+            self.hub.flush_soon()
         self.assertLessEqual(len(self.sent), 3 * 297)
--- a/tests/registry/test_numbers.py
+++ b/tests/registry/test_numbers.py
@@ -24,7 +24,7 @@
         self.world.step(step_count)
 
     def run_at(self, at=1):
-        return self.world.table(at).find("i-1")
+        return self.world.table(at).get("i-1")
 
     def test_numbered_report_saves_bytes(self):
         """Unchanged reports of many runs need a fraction of the bytes."""
@@ -66,20 +66,20 @@
         self.report(2, at=1, started_ms=2_000)
         self.report(50)
         starts = {"i-1": 1_000}
-        heard_s = self.world.table(1)._entries.get("i-1").heard_s
+        heard_s = self.world.table(1)._entries.get("i-1").last_report_s
         self.world.clock.value_s += 1.0
-        self.assertFalse(self.world.table(1).take_number(1, 50, starts))
+        self.assertFalse(self.world.table(1).apply_numbered_report(1, 50, starts))
         entry = self.world.table(1)._entries.get("i-1")
-        self.assertEqual((entry.heard_s, entry.run.sequence), (heard_s, 2))
+        self.assertEqual((entry.last_report_s, entry.run.sequence), (heard_s, 2))
 
     def test_ignores_numbered_report_with_older_sequence(self):
         """A duplicate report does not refresh the run."""
         self.report(9)
         entry = self.world.table(1)._entries.get("i-1")
-        heard_s = entry.heard_s
+        heard_s = entry.last_report_s
         self.world.clock.value_s += 1.0
-        self.world.table(1).take_number(1, 9, {"i-1": 1_000})
-        self.assertEqual(entry.heard_s, heard_s)
+        self.world.table(1).apply_numbered_report(1, 9, {"i-1": 1_000})
+        self.assertEqual(entry.last_report_s, heard_s)
 
     def test_sends_changed_details_in_full(self):
         """Changes of slots and warm-up time reach other control instances."""
@@ -118,6 +118,6 @@
     def test_sends_no_numbered_reports_to_entry_instance(self):
         """Unchanged reports are not sent to entry instances."""
         self.report(1)
-        with mock.patch.object(self.world.entry, "on_number") as received:
+        with mock.patch.object(self.world.entry, "on_numbered_report") as received:
             self.report(2, 8)
         received.assert_not_called()
--- a/tests/registry/test_home.py
+++ b/tests/registry/test_own_domain.py
@@ -7,8 +7,8 @@
 from logbook import TestHandler
 
 from agatethread.observability import Event
-from agatethread.registry import KnownEntry, are_silent, is_cut_off
-from agatethread.registry._home import OWN_DOMAIN_COUNT
+from agatethread.registry import KnownEntry, are_other_domains_unreachable, is_cut_off
+from agatethread.registry._own_domain import OWN_DOMAIN_COUNT
 from agatethread.registry._presence import rank_entries
 from agatethread.registry._subscribers import Subscriber
 from tests.fakes import address
@@ -35,7 +35,7 @@
     return {
         place
         for place, (_, hub) in world.hubs.items()
-        if any(target == world.entry_address for target, _ in hub.entries_in_sight())
+        if any(target == world.entry_address for target, _ in hub.reachable_entries())
     }
 
 
@@ -113,11 +113,11 @@
         """Other domains can greet the entry instance after a power loss."""
         self.world.step(40)
         for number in range(6):
-            (known,) = self.world.hub(number).entries()
+            (known,) = self.world.hub(number).known_entries()
             self.assertEqual((known.address, known.failure_domain), (address(99), "a"))
         self.world.cut = {self.world.entry_address}
         self.world.step(120)
-        self.assertEqual(self.world.hub(4).entries(), ())
+        self.assertEqual(self.world.hub(4).known_entries(), ())
 
     def test_receives_first_table_from_another_domain(self):
         """Another domain sends the table while the own domain has none."""
@@ -169,7 +169,7 @@
             self.world.table(2).report(report(sequence=sequence))
             self.world.step()
             self.assertTrue(self.world.entry.is_reporting("i-1"))
-        self.assertTrue(self.world.table(0).find("i-1").silent)
+        self.assertTrue(self.world.table(0).get("i-1").silent)
         self.assertIn(unreachable, followed(self.world))
 
     def test_state_of_unfollowed_instance_is_ignored(self):
@@ -203,7 +203,7 @@
 
         async def drain():
             self.world.table(3).report(report(sequence=2, draining=True))
-            waiting = asyncio.ensure_future(self.world.hub(3).spread(1.0))
+            waiting = asyncio.ensure_future(self.world.hub(3).flush_and_wait(1.0))
             await asyncio.sleep(0)
             self.world.deliver()
             return await waiting
@@ -238,8 +238,8 @@
 
     def is_cut_off(self):
         links = self.world.entry.links.values()
-        silent = are_silent(links, "a", self.world.clock())
-        return silent and is_cut_off(links, self.world.entry.live(), "a")
+        silent = are_other_domains_unreachable(links, "a", self.world.clock())
+        return silent and is_cut_off(links, self.world.entry.reachable_links(), "a")
 
     def test_logs_each_switch_once_and_no_false_loss(self):
         """One lost answer to a probe does not count as a lost instance."""
@@ -301,7 +301,7 @@
 
 def make_subscriber(world):
     subscriber = Subscriber()
-    subscriber.failure_domain, subscriber.heard_s = "b", world.clock() + 1.0
+    subscriber.failure_domain, subscriber.last_poll_s = "b", world.clock() + 1.0
     return subscriber
 
 
--- a/tests/registry/test_restarts.py
+++ b/tests/registry/test_restarts.py
@@ -23,7 +23,7 @@
 
     def run_state(self):
         """Return start time, sequence and states of run i-1."""
-        run = self.table.find("i-1")
+        run = self.table.get("i-1")
         return run.started_ms, run.sequence, run.draining, run.ended
 
     def test_accepts_later_start_at_once(self):
@@ -43,24 +43,24 @@
     def test_accepts_start_after_end(self):
         """An id whose run has ended may start again."""
         self.table.report(report(sequence=5, started_ms=1_000, draining=True))
-        self.table.leave("i-1")
+        self.table.end_run("i-1")
         self.assertTrue(self.table.report(report(sequence=1, started_ms=2_000)))
         self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
     def test_ignores_end_of_earlier_start(self):
         """The end of an earlier start, with or without its time, ends no later run."""
         self.table.report(report(sequence=1, started_ms=2_000))
-        self.assertFalse(self.table.leave("i-1", 1_000))
+        self.assertFalse(self.table.end_run("i-1", 1_000))
         with self.assertRaises(ReportRefusedError):
-            self.table.leave("i-1")
+            self.table.end_run("i-1")
         self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
     def test_accepts_repeated_end(self):
         """An end whose acknowledgement was lost may be sent again."""
         self.table.report(report(sequence=1, started_ms=2_000, draining=True))
-        self.assertTrue(self.table.leave("i-1"))
-        self.assertFalse(self.table.leave("i-1"))
-        self.assertFalse(self.table.leave("i-1", 2_000))
+        self.assertTrue(self.table.end_run("i-1"))
+        self.assertFalse(self.table.end_run("i-1"))
+        self.assertFalse(self.table.end_run("i-1", 2_000))
 
     def test_accepts_later_start_at_another_address(self):
         """The earlier address is free, and late reports of it are ignored."""
@@ -68,7 +68,7 @@
         self.table.report(report(sequence=1, started_ms=2_000, place=2))
         self.assertTrue(self.table.report(report(number=2, place=1, started_ms=1_500)))
         self.table.report(report(sequence=6, started_ms=1_000, place=1))
-        self.assertFalse(self.table.find("i-2").ended)
+        self.assertFalse(self.table.get("i-2").ended)
         self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
     def test_later_start_of_other_id_replaces_address_holder_at_once(self):
@@ -79,8 +79,8 @@
         self.assertFalse(
             self.table.report(report(number=1, sequence=19, started_ms=1_000))
         )
-        self.assertFalse(self.table.find("i-2").ended)
-        self.assertTrue(self.table.find("i-1").ended)
+        self.assertFalse(self.table.get("i-2").ended)
+        self.assertTrue(self.table.get("i-1").ended)
 
     def test_accepts_silent_later_start_from_another_instance(self):
         """A later start replaces the earlier one even if it is silent."""
@@ -89,8 +89,8 @@
         other.report(report(sequence=1, started_ms=2_000))
         silent_run = other.snapshot()[0]
         silent_run.silent = True
-        self.assertTrue(self.table.take(silent_run))
-        self.assertTrue(self.table.find("i-1").silent)
+        self.assertTrue(self.table.apply_peer_run(silent_run))
+        self.assertTrue(self.table.get("i-1").silent)
         self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
     def test_end_from_another_instance_keeps_draining_state(self):
@@ -98,8 +98,8 @@
         other = RunTable(INTERVAL_S, self.clock)
         self.table.report(report(sequence=1, started_ms=1_000))
         other.report(report(sequence=2, started_ms=1_000, draining=True))
-        other.leave("i-1")
-        self.assertTrue(self.table.take(other.snapshot()[0]))
+        other.end_run("i-1")
+        self.assertTrue(self.table.apply_peer_run(other.snapshot()[0]))
         self.assertEqual(self.run_state(), (1_000, 1, True, True))
 
     def test_start_times_survive_restart_of_control_instance(self):
@@ -108,7 +108,7 @@
         with tempfile.TemporaryDirectory() as folder:
             save_hints(folder, self.table.snapshot())
             self.table = RunTable(INTERVAL_S, self.clock)
-            self.table.remember(load_hints(folder).runs)
+            self.table.restore(load_hints(folder).runs)
         self.table.report(report(sequence=99, started_ms=1_000, draining=True))
         self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
@@ -144,7 +144,7 @@
         with self.assertRaises(ReportRefusedError):
             self.table.report(report(**without_start))
         self.table.report(report(sequence=6, started_ms=1_000, draining=True))
-        self.table.leave("i-1")
+        self.table.end_run("i-1")
         self.assertTrue(self.table.report(report(**without_start)))
         self.assertTrue(self.table.report(report(number=8, place=8)))
 
@@ -159,7 +159,7 @@
         table.sweep()
         with self.assertRaises(ReportRefusedError):
             table.report(report(sequence=2, draining=True, **without_start))
-        self.assertEqual(table.find("i-9").sequence, 1)
+        self.assertEqual(table.get("i-9").sequence, 1)
         for sequence in range(2, 30):
             clock.value_s += 0.2
             for number in (1, 2):
@@ -189,7 +189,7 @@
         self.assertTrue(table.report(report(3, place=3, started_ms=1_000)))
         table.sweep()
         self.assertFalse(table.report(report(1, sequence=2, place=1)))
-        self.assertEqual(table.find("i-1").sequence, 2)
+        self.assertEqual(table.get("i-1").sequence, 2)
         self.assertTrue(table.report(report(4, place=4)))
 
     def test_accepts_any_service_before_first_table(self):
@@ -278,7 +278,7 @@
     @rule(source=tables)
     def exchange(self, source):
         for run in self.tables[source].snapshot():
-            self.tables[1 - source].take(run)
+            self.tables[1 - source].apply_peer_run(run)
             self.sent_starts[source][run.id] = run.started_ms
             if not run.silent:
                 self.record_start(1 - source, run.id, run.started_ms, run.draining)
@@ -292,11 +292,11 @@
         for run in self.tables[source].snapshot():
             if run.ended or run.silent or starts.get(run.id) != run.started_ms:
                 continue
-            before = other.find(run.id)
+            before = other.get(run.id)
             previous = (before.started_ms, before.sequence) if before else None
-            other.take_number(run.number, run.sequence, starts)
+            other.apply_numbered_report(run.number, run.sequence, starts)
             if previous is not None:
-                after = other.find(run.id)
+                after = other.get(run.id)
                 assert (after.started_ms, after.sequence) >= previous
                 assert after.started_ms == previous[0]
 
@@ -304,11 +304,11 @@
     def late_end(self, at, number):
         """Send an end without a start time."""
         try:
-            self.tables[at].leave(f"i-{number:x}")
+            self.tables[at].end_run(f"i-{number:x}")
         except ReportRefusedError:
             return
         # Accepted: the run was draining here, or unknown.
-        run = self.tables[at].find(f"i-{number:x}")
+        run = self.tables[at].get(f"i-{number:x}")
         assert run.draining or not run.started_ms
 
     @rule(seconds=st.floats(0.0, 3.0))
@@ -321,7 +321,7 @@
     def newest_start_is_stored(self):
         for table, newest in zip(self.tables, self.newest, strict=True):
             for run_id, started_ms in newest.items():
-                assert table.find(run_id).started_ms == started_ms
+                assert table.get(run_id).started_ms == started_ms
 
     @invariant()
     def states_belong_to_the_start(self):
--- a/tests/registry/test_rounds.py
+++ b/tests/registry/test_rounds.py
@@ -1,7 +1,11 @@
 import unittest
 
-from agatethread.registry._link import HubLink
-from agatethread.registry._rounds import MAX_ROUND_MESSAGES, next_limit, order_round
+from agatethread.registry._control_link import ControlLink
+from agatethread.registry._send_rounds import (
+    MAX_ROUND_MESSAGES,
+    next_limit,
+    order_round,
+)
 from agatethread.registry._subscribers import Subscriber
 from agatethread.wire.registry_pb2 import BackendRun, Delta
 from tests.fakes import address
@@ -57,7 +61,7 @@
 
 class TestAcknowledgements(unittest.TestCase):
     def setUp(self):
-        self.link = HubLink(address(1))
+        self.link = ControlLink(address(1))
 
     def advance(self, index, complete=False):
         runs = [BackendRun(id=f"i-{index:x}")]
--- a/tests/registry/test_runs.py
+++ b/tests/registry/test_runs.py
@@ -40,7 +40,7 @@
         self.table = RunTable(INTERVAL_S, self.clock)
 
     def get_run(self, number=1):
-        return self.table.find(f"i-{number:x}")
+        return self.table.get(f"i-{number:x}")
 
     def advance(self, seconds):
         """Advance the clock with regular sweeps."""
@@ -72,13 +72,13 @@
     def test_ended_run_stays_ended(self):
         """A later report does not revive an ended run."""
         self.table.report(report(sequence=1))
-        self.assertTrue(self.table.leave("i-1"))
+        self.assertTrue(self.table.end_run("i-1"))
         self.assertFalse(self.table.report(report(sequence=9)))
         self.assertTrue(self.get_run().ended)
 
     def test_stores_end_of_unknown_run(self):
         """A report after the end does not start a new run."""
-        self.table.leave("i-1")
+        self.table.end_run("i-1")
         self.assertFalse(self.table.report(report(sequence=3)))
         self.assertTrue(self.get_run().ended)
 
@@ -118,7 +118,7 @@
         self.table.report(report(sequence=1))
         other = self.table.snapshot()[0]
         other.sequence, other.silent = 9, True
-        self.assertFalse(self.table.take(other))
+        self.assertFalse(self.table.apply_peer_run(other))
         self.assertFalse(self.get_run().silent)
 
     def test_returns_changes_after_index(self):
@@ -136,12 +136,12 @@
         """Saved runs are restored after a restart, including ended ones."""
         self.table.report(report(number=1, place=1, draining=True))
         self.table.report(report(number=2, place=2))
-        self.table.leave("i-2")
+        self.table.end_run("i-2")
         with tempfile.TemporaryDirectory() as folder:
             save_hints(folder, self.table.snapshot())
             restored = RunTable(INTERVAL_S, self.clock)
-            restored.remember(load_hints(folder).runs)
-        self.assertTrue(restored.find("i-1").draining)
+            restored.restore(load_hints(folder).runs)
+        self.assertTrue(restored.get("i-1").draining)
         self.assertFalse(restored.report(report(number=2, place=2, sequence=9)))
 
     def test_entry_instances_survive_restart(self):
@@ -180,19 +180,19 @@
     @rule(at=st.integers(0, 1), number=numbers, sequence=st.integers(1, 9))
     def drain(self, at, number, sequence):
         self.tables[at].report(report(number, sequence, number, draining=True))
-        run = self.tables[at].find(f"i-{number:x}")
+        run = self.tables[at].get(f"i-{number:x}")
         if run is not None and run.draining:
             self.draining[at].add(run.id)
 
     @rule(at=st.integers(0, 1), number=numbers)
     def leave(self, at, number):
-        self.tables[at].leave(f"i-{number:x}")
+        self.tables[at].end_run(f"i-{number:x}")
         self.ended[at].add(f"i-{number:x}")
 
     @rule(source=st.integers(0, 1))
     def exchange(self, source):
         for run in self.tables[source].snapshot():
-            self.tables[1 - source].take(run)
+            self.tables[1 - source].apply_peer_run(run)
         self.ended[1 - source] |= self.ended[source]
 
     @rule(seconds=st.floats(0.0, 3.0))
@@ -206,8 +206,8 @@
         for table, draining, ended in zip(
             self.tables, self.draining, self.ended, strict=True
         ):
-            assert all(table.find(run_id).draining for run_id in draining)
-            assert all(table.find(run_id).ended for run_id in ended)
+            assert all(table.get(run_id).draining for run_id in draining)
+            assert all(table.get(run_id).ended for run_id in ended)
 
     @invariant()
     def changes_equal_those_of_a_full_scan(self):
--- a/tests/registry/test_spreading.py
+++ b/tests/registry/test_spreading.py
@@ -12,7 +12,7 @@
     RunTable,
     decode_message,
 )
-from agatethread.registry._following import choose_followed
+from agatethread.registry._selection import choose_followed
 from tests.fakes import address
 from tests.registry.test_runs import report
 from tests.registry.worlds import World, compressed_table
@@ -26,7 +26,7 @@
         world.table(2).report(report())
         world.step(10)
         self.assertIn("i-1", world.received_runs())
-        self.assertIsNotNone(world.table(0).find("i-1"))
+        self.assertIsNotNone(world.table(0).get("i-1"))
 
     def test_all_changes_arrive_on_a_lossy_network(self):
         """With a third of all messages lost, every change arrives eventually."""
@@ -35,7 +35,7 @@
         world.step(10)
         for number in range(1, 60):
             world.table(number % 2).report(report(number, place=number))
-            world.table(number % 2).leave(f"i-{number - 3:x}") if number > 3 else None
+            world.table(number % 2).end_run(f"i-{number - 3:x}") if number > 3 else None
             world.step()
         world.step(60)
         ended = {run.id for run in world.received_runs().values() if run.ended}
@@ -51,7 +51,7 @@
 
         async def drain():
             world.table(0).report(report(sequence=2, draining=True))
-            waiting = asyncio.ensure_future(world.hub(0).spread(1.0))
+            waiting = asyncio.ensure_future(world.hub(0).flush_and_wait(1.0))
             await asyncio.sleep(0)
             world.deliver()
             return await waiting
@@ -59,7 +59,7 @@
         self.assertTrue(asyncio.run(drain()))
         world.cut = {address(0)}
         self.assertTrue(world.received_runs()["i-1"].draining)
-        self.assertTrue(world.table(1).find("i-1").draining)
+        self.assertTrue(world.table(1).get("i-1").draining)
 
     def test_spread_fails_with_unreachable_subscriber(self):
         """The wait for an unreachable subscriber ends with the timeout."""
@@ -69,7 +69,7 @@
 
         async def drain():
             world.table(0).report(report(draining=True))
-            return await world.hub(0).spread(0.05)
+            return await world.hub(0).flush_and_wait(0.05)
 
         self.assertFalse(asyncio.run(drain()))
 
@@ -110,7 +110,7 @@
         """The first followed instance is of the own domain, the second is not."""
         world = World(("b", "a", "a", "c"))
         world.step(20)
-        followed = choose_followed(world.entry.live(), "a")
+        followed = choose_followed(world.entry.reachable_links(), "a")
         domains = [link.failure_domain for link in followed]
         self.assertEqual(domains[0], "a")
         self.assertNotEqual(domains[1], "a")
@@ -119,7 +119,9 @@
         """During a partition, tables arrive from the side with a leader."""
         world = World(("a", "b", "b", "c", "c", "a"))
         world.step(15)
-        followed = [link.address for link in choose_followed(world.entry.live(), "a")]
+        followed = [
+            link.address for link in choose_followed(world.entry.reachable_links(), "a")
+        ]
         world.leaderless = set(followed)
         world.step(15)
         for place, (_, hub) in world.hubs.items():
@@ -188,5 +190,5 @@
                 world.table(0).report(report(number, sequence, number))
             world.loss = 1.0 if sequence == 20 else 0.0
             world.step()
-        received = world.table(1).find("i-1").sequence
+        received = world.table(1).get("i-1").sequence
         self.assertGreaterEqual(received, 58)
--- a/tests/registry/worlds.py
+++ b/tests/registry/worlds.py
@@ -7,7 +7,7 @@
 from agatethread.registry import (
     EvacuationPublisher,
     KnownEvacuations,
-    RegistryHub,
+    RegistryPublisher,
     RoutesOffer,
     RunTable,
     Subscription,
@@ -64,7 +64,7 @@
         """Start a control instance without state."""
         place = address(number)
         table = RunTable(INTERVAL_S, self.clock)
-        hub = RegistryHub(
+        hub = RegistryPublisher(
             table,
             domain,
             self.sender(place),
@@ -73,7 +73,7 @@
             lambda: place not in self.leaderless,
         )
         publisher = self.publishers[place] = EvacuationPublisher(
-            hub.in_sight, self.sender(place), self.clock
+            hub.reachable_subscribers, self.sender(place), self.clock
         )
         link = Subscription(
             domain,
@@ -82,15 +82,15 @@
             place,
             self.sender(place),
             self.clock,
-            table.take,
+            table.apply_peer_run,
             lambda _: None,
             Counters(),
             publisher,
         )
         self.hubs[place] = (table, hub)
         publisher.on_known = link.poll
-        hub.list_hubs = link.live
-        link.on_number = table.take_number
+        hub.list_other_controls = link.reachable_links
+        link.on_numbered_report = table.apply_numbered_report
         self.links[place] = link
 
     def sender(self, source):
