--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -23,7 +23,7 @@
     LabelForwarder,
     Packet,
     PacketCodec,
-    label_of,
+    derive_label,
 )
 from agatethread.observability import Counters, LineBudget, LineWriter
 from agatethread.observability._logging import BoundedHandler
@@ -43,7 +43,7 @@
         port, opens = int.from_bytes(data[:4], "big"), data[4] == 1
         key = FlowKey(1, port, *_HOST)
         size = 0 if opens else len(_PAYLOAD)
-        label = 0 if opens else label_of(port % 7 + 1)
+        label = 0 if opens else derive_label(port % 7 + 1)
         return Packet(label, key, opens, 0, False, False, port, port, size, data)
 
     return PacketCodec(
--- a/benchmarks/operations_world.py
+++ b/benchmarks/operations_world.py
@@ -68,7 +68,7 @@
         book.documents[SERVICE] = ServiceDocument(SERVICE, 1, ramp_s=0.0)
         ports = InstanceCallbacks(
             now_s=asyncio.get_running_loop().time,
-            own_member=lambda: self.members.me.ref,
+            own_member=lambda: self.members.own_member.ref,
             is_alive=self.members.is_alive,
             send_peer=self._send_peer,
             send_backend=self._send_backend,
@@ -113,7 +113,7 @@
     def _send_peer(self, address: bytes, peer: Peer) -> None:
         target = self._world.name_of(address)
         data = peer.SerializeToString()
-        sender = self.members.me.ref
+        sender = self.members.own_member.ref
         self._world.network.send(
             self.name,
             target,
@@ -215,7 +215,7 @@
         for other in self.nodes.values():
             other.members.apply(member)
             if other.name not in self.network.dead:
-                node.members.apply(other.members.me)
+                node.members.apply(other.members.own_member)
         for number, address in enumerate(self.backends):
             announcement = Announcement(
                 endpoint_id=f"backend-{number}",
@@ -257,7 +257,7 @@
 
     def restart(self, name: str) -> None:
         """Start a killed instance again, with nothing remembered."""
-        old = self.nodes.pop(name).members.me
+        old = self.nodes.pop(name).members.own_member
         self.add_node(int(name.split("-")[1]), old.incarnation + 1)
 
     def suspect(self, viewer: str, name: str) -> None:
@@ -273,7 +273,7 @@
             return
         table = self.nodes[viewer].members
         known = table.members.get(name, self.nodes[name].member)
-        alive = self.nodes[name].members.me
+        alive = self.nodes[name].members.own_member
         table.apply(replace(alive, counter=known.counter + 1, state=MemberState.ALIVE))
 
     def calm(self) -> None:
--- a/benchmarks/request_path.py
+++ b/benchmarks/request_path.py
@@ -25,13 +25,13 @@
     LabelForwarder,
     Packet,
     PacketCodec,
-    label_of,
+    derive_label,
 )
 from agatethread.datapath._cold import ColdLimits
 from agatethread.datapath._pacing import PacedSender
 from agatethread.datapath._placing import place_flow
 from agatethread.observability import Counters
-from agatethread.registry import RegistryPublisher, Report, RoutesOffer, RunTable
+from agatethread.registry import CompressedTable, RegistryPublisher, Report, RunTable
 from agatethread.routing import Route, RouteTable, Target, decode_table
 from agatethread.wire import pack_address
 from agatethread.wire.registry_pb2 import (
@@ -85,7 +85,7 @@
 
 def _packet(port: int, size: int = 0, opens: bool = False, sequence: int = 1) -> Packet:
     key = FlowKey(1, port, _HOST, _TAB_PORT)
-    label = 0 if opens else label_of(port % _TAB_COUNT + 1)
+    label = 0 if opens else derive_label(port % _TAB_COUNT + 1)
     return Packet(label, key, opens, 0, False, False, sequence, 1, size, b"x" * size)
 
 
@@ -186,7 +186,7 @@
 
     def offer() -> None:
         compressed = zlib.compress(table.SerializeToString())
-        hub.offer_routes(RoutesOffer(next(versions), compressed))
+        hub.offer_routes(CompressedTable(next(versions), compressed))
 
     reports = (_TAB_COUNT + _ARCHIVE_COUNT) / _REPORT_INTERVAL_S / _CONTROL_COUNT
     polls = 3 * _ENTRY_COUNT / _POLL_INTERVAL_S / _CONTROL_COUNT
--- a/src/agatethread/control/_orders.py
+++ b/src/agatethread/control/_orders.py
@@ -192,7 +192,7 @@
         agreed_s = self._now_s()
         version = node.documents.evacuations.version
         remaining_s = _ACKNOWLEDGEMENT_TIMEOUT_S - (agreed_s - started_s)
-        is_known_everywhere = await self._evacuations.wait_until_known(
+        is_known_everywhere = await self._evacuations.wait_until_acknowledged(
             version, max(0.0, min(self._evacuation_wait_s, remaining_s))
         )
         log.info(
--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -25,14 +25,14 @@
 from agatethread.control._storage import LogStorage
 from agatethread.observability import Counters, Event, Measures, make_logger
 from agatethread.registry import (
+    CompressedTable,
     DispatcherDirectory,
     EvacuationPublisher,
     Hints,
-    QualityKeeper,
+    QualityMonitor,
     RegistryPublisher,
     RegistryTransport,
     Report,
-    RoutesOffer,
     RunTable,
     Subscription,
     load_hints,
@@ -124,7 +124,7 @@
             lambda: self.subscription.reachable_links(),
             now_s,
         )
-        self.quality: QualityKeeper | None = None
+        self.quality: QualityMonitor | None = None
         if settings.parts.judges_answers:
             self.quality = self._make_quality_keeper()
         self._evacuations = EvacuationPublisher(
@@ -142,12 +142,12 @@
             self.counters,
             self._evacuations,
         )
-        self._evacuations.on_known = self.subscription.poll
+        self._evacuations.on_acknowledged = self.subscription.poll
         self.subscription.on_numbered_report = self._on_number
         self.hub.list_other_controls = self.subscription.reachable_links
 
-    def _make_quality_keeper(self) -> QualityKeeper:
-        return QualityKeeper(
+    def _make_quality_keeper(self) -> QualityMonitor:
+        return QualityMonitor(
             self.settings.failure_domain,
             lambda: (run for _, run in self.runs.changes_after(0, False)),
             self.hub.reachable_entries,
@@ -184,7 +184,7 @@
         self.timers.subscribe(_SWEEP_INTERVAL_S, self.runs.sweep)
         self.timers.subscribe(_SIGHTINGS_INTERVAL_S, self.hub.send_sightings)
         if self.settings.parts.relays_openings:
-            self.hub.add_dispatchers = self._dispatchers.add_to
+            self.hub.add_dispatchers = self._dispatchers.add_to_reply
             self.timers.subscribe(_DISPATCHERS_INTERVAL_S, self._dispatchers.refresh)
         if self.quality:
             self.timers.subscribe(_QUALITY_INTERVAL_S, self.quality.tick)
@@ -273,7 +273,7 @@
 
     def _publish_state(self, node: RaftNode) -> None:
         routes, evacuations = node.documents.routes, node.documents.evacuations
-        has_new_evacuations = self._evacuations.offer(evacuations)
+        has_new_evacuations = self._evacuations.publish_newer(evacuations)
         if routes.version <= self._published_version and not has_new_evacuations:
             return
         if not routes.version:
@@ -282,7 +282,7 @@
         self.runs.services = frozenset(RoutingTable.FromString(routes.table).services)
         compressed = zlib.compress(routes.table)
         self.hub.offer_routes(
-            RoutesOffer(routes.version, compressed, self._evacuations.newest)
+            CompressedTable(routes.version, compressed, self._evacuations.newest)
         )
 
     async def report(self, report: Report) -> None:
@@ -309,7 +309,7 @@
         run_id : str
             Id of the run.
         started_ms : int
-            Start of the run; `START_NOT_TOLD` if unknown.
+            Start of the run; `START_UNKNOWN` if unknown.
 
         Raises
         ------
--- a/src/agatethread/datapath/__init__.py
+++ b/src/agatethread/datapath/__init__.py
@@ -9,7 +9,7 @@
 from agatethread.datapath._packets import FlowKey, Packet, PacketCodec
 from agatethread.datapath._placing import choose_backend
 from agatethread.datapath._readiness import Readiness
-from agatethread.registry import label_of
+from agatethread.registry import derive_label
 
 __all__ = [
     "Backend",
@@ -24,5 +24,5 @@
     "PacketCodec",
     "Readiness",
     "choose_backend",
-    "label_of",
+    "derive_label",
 ]
--- a/src/agatethread/datapath/_backend.py
+++ b/src/agatethread/datapath/_backend.py
@@ -2,7 +2,7 @@
 
 from agatethread.datapath._packets import FlowKey
 from agatethread.observability import Event, make_logger
-from agatethread.registry import label_of
+from agatethread.registry import derive_label
 from agatethread.settings import DEFAULT_POLICIES, Policies
 from agatethread.wire import unpack_address
 from agatethread.wire.registry_pb2 import BackendRun
@@ -75,7 +75,7 @@
         self.id = run.id
         self.number = run.number
         self.started_ms = run.started_ms
-        self.label = label_of(run.number, run.started_ms)
+        self.label = derive_label(run.number, run.started_ms)
         #: Labels of earlier runs with the same id, latest last.
         self.earlier_labels: list[int] = []
         self.service = run.service
--- a/src/agatethread/entry/_announcements.py
+++ b/src/agatethread/entry/_announcements.py
@@ -150,7 +150,7 @@
         endpoint = self._endpoints.by_address[address]
         if result is not AnnouncementResult.STALE:
             domain = endpoint.announcement.failure_domain
-            endpoint.is_unreachable = not self._members.sees_domain(domain)
+            endpoint.is_unreachable = not self._members.has_live_member(domain)
         if result is AnnouncementResult.CHANGED:
             self._on_changed(endpoint)
             if endpoint.gone and not was_gone:
@@ -170,13 +170,13 @@
         return self._members.rank(service_hash(service))[:_LEASE_HOLDER_COUNT]
 
     def _other_lease_holders(self, service: str) -> list[Member]:
-        own_name = self._members.me.name
+        own_name = self._members.own_member.name
         return [
             member for member in self._lease_holders(service) if member.name != own_name
         ]
 
     def _is_lease_holder(self, service: str) -> bool:
-        own_name = self._members.me.name
+        own_name = self._members.own_member.name
         return any(member.name == own_name for member in self._lease_holders(service))
 
     def _acknowledge(self, announcement: Announcement, source: bytes) -> None:
@@ -218,7 +218,7 @@
         for endpoint in list(self._endpoints.expired(now_s, self._is_lease_holder)):
             # Backend servers in an unreachable failure domain may still run: they get
             # no new work, and their flows are not reset.
-            if not self._members.sees_domain(endpoint.announcement.failure_domain):
+            if not self._members.has_live_member(endpoint.announcement.failure_domain):
                 continue
             self._counters["lease_expired"] += 1
             ended = Announcement()
--- a/src/agatethread/entry/_datagrams.py
+++ b/src/agatethread/entry/_datagrams.py
@@ -205,7 +205,7 @@
         self._send_to_caller(welcome.SerializeToString(), source)
 
     def _on_probe(self, envelope: Envelope, source: Address) -> None:
-        is_leaving = self._members.me.state == MemberState.LEAVING
+        is_leaving = self._members.own_member.state == MemberState.LEAVING
         reply = Envelope(kind=Kind.PROBE_ACK, sequence=envelope.sequence)
         if is_leaving:
             reply.reason = Reason.DRAINING
--- a/src/agatethread/entry/_flows.py
+++ b/src/agatethread/entry/_flows.py
@@ -54,7 +54,7 @@
             Packed address of the caller.
         """
         ranked = self._members.rank(service_hash(envelope.service))
-        if not ranked or ranked[0].name == self._members.me.name:
+        if not ranked or ranked[0].name == self._members.own_member.name:
             self._placer.on_open(envelope, caller)
             return
         relay = Relay(caller=caller, datagram=envelope.SerializeToString())
@@ -114,7 +114,7 @@
         self, service: str, flow_id: int, endpoint: bytes
     ) -> None:
         ranked = self._members.rank(service_hash(service))
-        if not ranked or ranked[0].name == self._members.me.name:
+        if not ranked or ranked[0].name == self._members.own_member.name:
             self._placer.on_closed(service, flow_id, endpoint)
             return
         closed = FlowClosed(service=service, flow_id=flow_id, endpoint=endpoint)
--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -169,7 +169,7 @@
     def _build_request_parts(self, entry: EntrySettings) -> None:
         ports = InstanceCallbacks(
             now_s=self.timers.now_s,
-            own_member=lambda: self.members.me.ref,
+            own_member=lambda: self.members.own_member.ref,
             is_alive=self.members.is_alive,
             send_peer=self.send_peer,
             send_backend=self._send_backend,
@@ -205,16 +205,16 @@
         # All backend servers announce themselves during the warm-up, before this
         # instance places its first flow.
         await self.sleep(self.settings.entry.warm_up_s)
-        if self.members.me.joining:
-            self.members.change_me(joining=False)
+        if self.members.own_member.joining:
+            self.members.update_own_state(joining=False)
 
     async def leave(self) -> None:
         """Stop gracefully: refuse queued requests and finish running operations."""
         log.info("leaving", operations=self.requests.running_count)
         self._is_leaving = True
-        self.members.change_me(state=MemberState.LEAVING)
+        self.members.update_own_state(state=MemberState.LEAVING)
         self.requests.refuse_queued()
-        self.prober.tell_all()
+        self.prober.send_own_state()
 
         started_s = self.timers.now_s()
         deadline_s = started_s + max(
@@ -245,8 +245,8 @@
         peer : Peer
             Message to send.
         """
-        peer.sender = self.members.me.address
-        peer.incarnation = self.members.me.incarnation
+        peer.sender = self.members.own_member.address
+        peer.incarnation = self.members.own_member.incarnation
         data = encode_peer(self.sealer, peer)
         self.counters["peer_bytes_sent"] += len(data)
         self._send_to_inner(data, unpack_address(address))
@@ -315,14 +315,14 @@
 
     def _apply_own_drain(self) -> None:
         drained = self.settings.name in self.document_store.drained
-        state = self.members.me.state
+        state = self.members.own_member.state
         if drained and state == MemberState.ALIVE:
-            self.members.change_me(state=MemberState.LEAVING)
+            self.members.update_own_state(state=MemberState.LEAVING)
             self.requests.refuse_queued()
-            self.prober.tell_all()
+            self.prober.send_own_state()
         elif not drained and state == MemberState.LEAVING and not self._is_leaving:
-            self.members.change_me(state=MemberState.ALIVE)
-            self.prober.tell_all()
+            self.members.update_own_state(state=MemberState.ALIVE)
+            self.prober.send_own_state()
 
     async def _initialize_member(self, member: Member) -> None:
         # Sent twice: an instance that learned of a backend server in between may not
--- a/src/agatethread/entry/_requests.py
+++ b/src/agatethread/entry/_requests.py
@@ -145,7 +145,7 @@
         """
         token = self._parse_request_token(envelope)
         target = self._choose_decider(envelope, token)
-        if target == self._members.me.ref:
+        if target == self._members.own_member.ref:
             self._handle_locally(envelope, token, caller)
             return
         if target == NO_MEMBER:
@@ -194,7 +194,7 @@
         self._handle_locally(envelope, self._parse_request_token(envelope), caller)
 
     def _handle_locally(self, envelope: Envelope, token: Token, caller: bytes) -> None:
-        own_ref = self._members.me.ref
+        own_ref = self._members.own_member.ref
         if token.owner == own_ref:
             self._handle_as_owner(envelope, token, caller)
             return
@@ -228,7 +228,7 @@
             Operation id and the missing fragments.
         """
         token = self._parse_request_token(envelope)
-        if token.owner == self._members.me.ref:
+        if token.owner == self._members.own_member.ref:
             self.owner.resend_verdict(envelope.operation_id, envelope.missing)
             return
         relay = Relay(datagram=envelope.SerializeToString())
@@ -247,7 +247,7 @@
         label = parse_label(self._sealer, envelope.return_label)
         if not isinstance(label, OperationLabel):
             raise DatagramError("wrong label")
-        if label.owner == self._members.me.ref:
+        if label.owner == self._members.own_member.ref:
             self.owner.resend_request(
                 envelope.operation_id, label.attempt, envelope.missing
             )
@@ -270,7 +270,7 @@
             Cancellation with the operation id.
         """
         token = self._parse_request_token(envelope)
-        if token.owner == self._members.me.ref:
+        if token.owner == self._members.own_member.ref:
             self.owner.on_cancel(envelope.operation_id)
             return
         relay = Relay(datagram=envelope.SerializeToString())
@@ -312,7 +312,7 @@
         if not isinstance(label, OperationLabel):
             return False
 
-        own_ref = self._members.me.ref
+        own_ref = self._members.own_member.ref
         if label.owner != own_ref and self._ports.is_alive(label.owner):
             self._relay_reply(label.owner, data, source)
         elif own_ref not in (label.owner, label.standby):
@@ -360,7 +360,7 @@
         envelope = self._assembler.add(key, source, envelope)
         if envelope is None:
             return
-        if label.owner == self._members.me.ref:
+        if label.owner == self._members.own_member.ref:
             self.owner.on_reply(operation_id, label, envelope)
         else:
             self.claims.on_reply(operation_id, label, envelope)
--- a/src/agatethread/membership/_members.py
+++ b/src/agatethread/membership/_members.py
@@ -86,7 +86,7 @@
     """
 
     def __init__(self, own_member: Member):
-        self.me = own_member
+        self.own_member = own_member
         self.members: dict[str, Member] = {own_member.name: own_member}
         self._by_ref: dict[MemberRef, Member] = {own_member.ref: own_member}
         self._gossip: dict[str, int] = {}
@@ -119,7 +119,7 @@
         bool
             Whether it was new.
         """
-        if member.name == self.me.name:
+        if member.name == self.own_member.name:
             return self._refute(member)
 
         current = self.members.get(member.name)
@@ -129,7 +129,7 @@
         self._store(member)
         return True
 
-    def change_me(self, **changes: object) -> None:
+    def update_own_state(self, **changes: object) -> None:
         """Change this instance's own state and queue it for gossip.
 
         Parameters
@@ -137,8 +137,8 @@
         **changes
             Fields of `Member`.
         """
-        counter = self.me.counter + 1
-        self._store(replace(self.me, counter=counter, **changes))
+        counter = self.own_member.counter + 1
+        self._store(replace(self.own_member, counter=counter, **changes))
 
     def suspect(self, member: Member) -> None:
         """Mark a member as suspected after it did not answer a probe.
@@ -163,17 +163,17 @@
             self.apply(replace(member, state=MemberState.DEAD))
 
     def _refute(self, member: Member) -> bool:
-        if member.precedence <= self.me.precedence:
+        if member.precedence <= self.own_member.precedence:
             return False
 
         # A higher incarnation of the own name means that the clock was set back
         # between two starts; the present incarnation must be the highest.
-        if member.incarnation > self.me.incarnation:
-            self.change_me(incarnation=member.incarnation + 1)
+        if member.incarnation > self.own_member.incarnation:
+            self.update_own_state(incarnation=member.incarnation + 1)
             return True
 
-        counter = max(member.counter, self.me.counter)
-        self._store(replace(self.me, counter=counter + 1))
+        counter = max(member.counter, self.own_member.counter)
+        self._store(replace(self.own_member, counter=counter + 1))
         return True
 
     def _store(self, member: Member) -> None:
@@ -182,8 +182,8 @@
             self._by_ref.pop(previous.ref, None)
         self.members[member.name] = member
         self._by_ref[member.ref] = member
-        if member.name == self.me.name:
-            self.me = member
+        if member.name == self.own_member.name:
+            self.own_member = member
         self._update_rings(member)
         self._queue_gossip(member.name)
         for listener in self._listeners:
@@ -223,7 +223,7 @@
         list of Member
             In no particular order.
         """
-        return [member for member in self.live() if member.name != self.me.name]
+        return [member for member in self.live() if member.name != self.own_member.name]
 
     def dead(self) -> list[Member]:
         """Return the instances that are known to be dead.
@@ -235,7 +235,7 @@
         """
         return [m for m in self.members.values() if m.state == MemberState.DEAD]
 
-    def sees_domain(self, failure_domain: str) -> bool:
+    def has_live_member(self, failure_domain: str) -> bool:
         """Return whether a failure domain has an instance that is not dead.
 
         Parameters
@@ -285,7 +285,7 @@
             According to this instance's table.
         """
         ranked = self.rank(service, 1)
-        return bool(ranked) and ranked[0].name == self.me.name
+        return bool(ranked) and ranked[0].name == self.own_member.name
 
     def _update_rings(self, member: Member) -> None:
         may_dispatch = member.state in _DISPATCHING_STATES
@@ -302,7 +302,7 @@
     def _queue_gossip(self, name: str) -> None:
         self._gossip[name] = _GOSSIP_FACTOR * max(1, len(self.members).bit_length())
 
-    def take_gossip(self, limit: int) -> list[MemberUpdate]:
+    def pop_gossip(self, limit: int) -> list[MemberUpdate]:
         """Return the updates for the next datagram, and count each as sent once.
 
         Parameters
--- a/src/agatethread/membership/_prober.py
+++ b/src/agatethread/membership/_prober.py
@@ -56,7 +56,7 @@
         self._table = table
         self._timers = timers
         self._send = send
-        self._seeds = [seed for seed in seeds if seed != table.me.address]
+        self._seeds = [seed for seed in seeds if seed != table.own_member.address]
         self._interval_s = interval_s
         self._suspicion_s = suspicion_s
         self._counters = counters
@@ -64,7 +64,7 @@
         self._pending_probes: dict[int, asyncio.Future[None]] = {}
         #: Names of the members left to probe in this round.
         self._round: list[str] = []
-        self._random = random.Random(table.me.incarnation)
+        self._random = random.Random(table.own_member.incarnation)
         table.subscribe(self._on_change)
 
     async def on_start(self) -> None:
@@ -80,19 +80,19 @@
     def _send_join(self, address: bytes) -> None:
         ping = self._new_ping()
         ping.join = True
-        ping.updates.append(self._table.me.to_update())
+        ping.updates.append(self._table.own_member.to_update())
         self._send(address, Peer(ping=ping))
 
-    def tell_all(self) -> None:
+    def send_own_state(self) -> None:
         """Send this instance's own state to all other instances at once."""
         for member in self._table.live_peers():
             ping = self._new_ping()
-            ping.updates.append(self._table.me.to_update())
+            ping.updates.append(self._table.own_member.to_update())
             self._send(member.address, Peer(ping=ping))
 
     def _new_ping(self) -> Ping:
         self._sequence += 1
-        updates = self._table.take_gossip(_MAX_UPDATES)
+        updates = self._table.pop_gossip(_MAX_UPDATES)
         return Ping(sequence=self._sequence, updates=updates)
 
     def _rejoin(self) -> None:
@@ -172,7 +172,7 @@
 
     def _make_ack(self, ping: Ping) -> Ack:
         if not ping.join:
-            updates = self._table.take_gossip(_MAX_UPDATES)
+            updates = self._table.pop_gossip(_MAX_UPDATES)
             return Ack(sequence=ping.sequence, updates=updates)
 
         # The joining instance's own state comes first, so that it can refute its death.
@@ -207,7 +207,7 @@
             self._table.apply(member_from_update(update))
 
     def _on_change(self, member: Member) -> None:
-        if member.name == self._table.me.name:
+        if member.name == self._table.own_member.name:
             return
         log.info(
             "member changed",
--- a/src/agatethread/registry/__init__.py
+++ b/src/agatethread/registry/__init__.py
@@ -2,13 +2,13 @@
 
 from agatethread.registry._control_link import ControlLink
 from agatethread.registry._dispatchers import DispatcherDirectory, merge_dispatchers
-from agatethread.registry._evacuations import EvacuationPublisher, KnownEvacuations
-from agatethread.registry._labels import label_of
-from agatethread.registry._memory import Hints, KnownEntry, load_hints, save_hints
+from agatethread.registry._evacuations import EvacuationPublisher, ReceivedEvacuations
+from agatethread.registry._hints import Hints, KnownEntry, load_hints, save_hints
+from agatethread.registry._labels import derive_label
 from agatethread.registry._presence import UNKNOWN_RANK, DomainView, EntryRank
-from agatethread.registry._publisher import RegistryPublisher, RoutesOffer
-from agatethread.registry._quality import QualityKeeper
-from agatethread.registry._report import START_NOT_TOLD, Report
+from agatethread.registry._publisher import CompressedTable, RegistryPublisher
+from agatethread.registry._quality import QualityMonitor
+from agatethread.registry._report import START_UNKNOWN, Report
 from agatethread.registry._runs import RunTable
 from agatethread.registry._selection import (
     are_other_domains_unreachable,
@@ -22,20 +22,20 @@
 
 __all__ = [
     "UNKNOWN_RANK",
-    "START_NOT_TOLD",
+    "START_UNKNOWN",
     "DispatcherDirectory",
     "DomainView",
     "EvacuationPublisher",
     "Hints",
     "ControlLink",
     "KnownEntry",
-    "KnownEvacuations",
+    "ReceivedEvacuations",
     "EntryRank",
-    "QualityKeeper",
+    "QualityMonitor",
     "RegistryPublisher",
     "RegistryTransport",
     "Report",
-    "RoutesOffer",
+    "CompressedTable",
     "RunTable",
     "SightingPool",
     "Subscription",
@@ -43,7 +43,7 @@
     "choose_followed",
     "decode_message",
     "is_cut_off",
-    "label_of",
+    "derive_label",
     "load_hints",
     "merge_dispatchers",
     "save_hints",
--- a/src/agatethread/registry/_admission.py
+++ b/src/agatethread/registry/_admission.py
@@ -23,12 +23,12 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from agatethread.registry._report import START_NOT_TOLD, Report
+from agatethread.registry._report import START_UNKNOWN, Report
 from agatethread.wire.registry_pb2 import BackendRun
 
 #: How long an ended or silent run is stored, so that a late report can't revive or
 #: replace a run. Longer than a report can be delayed, and than the flows of a run live.
-KEPT_S = 180.0
+RUN_RETENTION_S = 180.0
 
 
 class Verdict(Enum):
@@ -36,7 +36,7 @@
 
     CONTINUES = "a later report of a known run"
     STARTS = "the first report of a run"
-    OVERTAKEN = "a later report of its run is known"
+    OUTDATED = "a later report of its run is known"
     EARLIER_RUN = "a later run of its id is known"
     ADDRESS_HELD = "another run holds its address"
     CONTRADICTS = "it contradicts what its id is known as"
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
+class KnownRun:
     """A run that a report is compared with.
 
     Attributes
@@ -71,8 +71,8 @@
 
 def judge_report(
     report: Report,
-    known_run: Known | None,
-    address_holder: Known | None,
+    known_run: KnownRun | None,
+    address_holder: KnownRun | None,
     same_number_run: BackendRun | None,
     holder_timeout_s: float,
 ) -> Verdict:
@@ -82,9 +82,9 @@
     ----------
     report : Report
         The report.
-    known_run : Known or None
+    known_run : KnownRun or None
         The newest known run of its id.
-    address_holder : Known or None
+    address_holder : KnownRun or None
         Another id's run that holds its address.
     same_number_run : BackendRun or None
         A run of another id with the same number, which datagrams can't tell apart.
@@ -110,23 +110,23 @@
     return Verdict.STARTS
 
 
-def _compare_with_known(report: Report, known_run: Known) -> Verdict:
+def _compare_with_known(report: Report, known_run: KnownRun) -> Verdict:
     run = known_run.run
     if report.started_ms < run.started_ms:
-        if known_run.last_report_age_s >= KEPT_S:
+        if known_run.last_report_age_s >= RUN_RETENTION_S:
             return Verdict.STARTS
-        if report.started_ms == START_NOT_TOLD:
+        if report.started_ms == START_UNKNOWN:
             return Verdict.CONTRADICTS
         return Verdict.EARLIER_RUN
     if report.started_ms > run.started_ms:
         changes_service = is_live(run) and report.service != run.service
         return Verdict.CONTRADICTS if changes_service else Verdict.STARTS
     if run.ended:
-        return Verdict.OVERTAKEN
+        return Verdict.OUTDATED
     if _fixed_fields_differ(report, run):
         return Verdict.CONTRADICTS
     if report.sequence <= run.sequence:
-        return Verdict.OVERTAKEN
+        return Verdict.OUTDATED
     return Verdict.CONTINUES
 
 
@@ -152,11 +152,13 @@
     return reported != (run.service, run.address, run.failure_domain)
 
 
-def _releases_address(holder: Known, report: Report, holder_timeout_s: float) -> bool:
-    if holder.last_report_age_s >= KEPT_S:
+def _releases_address(
+    holder: KnownRun, report: Report, holder_timeout_s: float
+) -> bool:
+    if holder.last_report_age_s >= RUN_RETENTION_S:
         return True
     starts = (report.started_ms, holder.run.started_ms)
-    if START_NOT_TOLD not in starts and starts[0] != starts[1]:
+    if START_UNKNOWN not in starts and starts[0] != starts[1]:
         # Two runs can't share an address: the one that started first has ended.
         return starts[0] > starts[1]
     # The run that reports regularly is live. A report of the other run was delayed;
@@ -164,7 +166,7 @@
     return holder.last_report_age_s >= holder_timeout_s
 
 
-def end_is_of(run: BackendRun, started_ms: int) -> bool:
+def end_applies_to(run: BackendRun, started_ms: int) -> bool:
     """Return whether an end reported for an id applies to the known run.
 
     Without a start time it may be late and refer to an earlier run. A backend server
@@ -175,13 +177,13 @@
     run : BackendRun
         The newest known run of the id.
     started_ms : int
-        Start time of the run that has ended; `START_NOT_TOLD` if it was not reported.
+        Start time of the run that has ended; `START_UNKNOWN` if it was not reported.
 
     Returns
     -------
     bool
         Whether the known run has ended.
     """
-    if started_ms == START_NOT_TOLD:
-        return run.draining or run.started_ms == START_NOT_TOLD
+    if started_ms == START_UNKNOWN:
+        return run.draining or run.started_ms == START_UNKNOWN
     return started_ms >= run.started_ms
--- a/src/agatethread/registry/_chunks.py
+++ b/src/agatethread/registry/_chunks.py
@@ -11,11 +11,11 @@
 )
 
 #: Payload of one message; its datagram fits an Ethernet frame.
-MESSAGE_BYTES = 1_100
+MESSAGE_PAYLOAD_BYTES = 1_100
 
 
 @dataclass(frozen=True, slots=True)
-class RoutesOffer:
+class CompressedTable:
     """The newest agreed routing table, compressed for sending."""
 
     version: int
@@ -24,12 +24,12 @@
     evacuations: Evacuations = field(default_factory=Evacuations)
 
 
-def split_routes(table: RoutesOffer) -> list[RegistryMessage]:
+def split_routes(table: CompressedTable) -> list[RegistryMessage]:
     """Return the messages that hold the chunks of a table.
 
     Parameters
     ----------
-    table : RoutesOffer
+    table : CompressedTable
         The table.
 
     Returns
@@ -38,8 +38,8 @@
         One for each chunk, in order.
     """
     parts = [
-        table.compressed[start : start + MESSAGE_BYTES]
-        for start in range(0, len(table.compressed), MESSAGE_BYTES)
+        table.compressed[start : start + MESSAGE_PAYLOAD_BYTES]
+        for start in range(0, len(table.compressed), MESSAGE_PAYLOAD_BYTES)
     ]
     chunks = [
         RoutesChunk(
@@ -54,7 +54,7 @@
     return [RegistryMessage(routes=chunk) for chunk in chunks]
 
 
-class ChunkedTable:
+class TableAssembler:
     """The chunks of the newest table received so far.
 
     Chunks arrive in any order, and more than once.
@@ -64,7 +64,7 @@
         self._version = 0
         self._parts: list[bytes | None] = []
 
-    def add(self, chunk: RoutesChunk) -> RoutingTable | None:
+    def add_chunk(self, chunk: RoutesChunk) -> RoutingTable | None:
         """Store a chunk.
 
         Parameters
--- a/src/agatethread/registry/_deltas.py
+++ b/src/agatethread/registry/_deltas.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from agatethread.registry._chunks import MESSAGE_BYTES
+from agatethread.registry._chunks import MESSAGE_PAYLOAD_BYTES
 from agatethread.registry._runs import RunTable
 from agatethread.wire.registry_pb2 import BackendRun, Delta, RegistryMessage
 
@@ -72,7 +72,7 @@
                 run.id, start_index
             )
             run_bytes = _NUMBERED_REPORT_BYTES if is_numbered else run.ByteSize() + 3
-            if size and size + run_bytes > MESSAGE_BYTES:
+            if size and size + run_bytes > MESSAGE_PAYLOAD_BYTES:
                 message.delta.through_index = last_index
                 messages.append(message)
                 if len(messages) == _WINDOW_MESSAGE_COUNT:
--- a/src/agatethread/registry/_dispatchers.py
+++ b/src/agatethread/registry/_dispatchers.py
@@ -277,7 +277,7 @@
         """
         return self._dispatchers
 
-    def add_to(self, state: HubState, subscriber: PollingInstance) -> None:
+    def add_to_reply(self, state: HubState, subscriber: PollingInstance) -> None:
         """Add the dispatchers to a reply if the receiver's digest differs.
 
         Parameters
--- a/src/agatethread/registry/_entries.py
+++ b/src/agatethread/registry/_entries.py
@@ -4,7 +4,7 @@
 from itertools import islice
 
 from agatethread.registry._admission import is_live
-from agatethread.registry._report import START_NOT_TOLD, Report
+from agatethread.registry._report import START_UNKNOWN, Report
 from agatethread.wire.registry_pb2 import BackendRun
 
 #: One of this many reports of a run is sent in full.
@@ -89,7 +89,7 @@
         without = (
             entry
             for entry in self._by_id.values()
-            if entry.run.started_ms == START_NOT_TOLD and is_live(entry.run)
+            if entry.run.started_ms == START_UNKNOWN and is_live(entry.run)
         )
         return sum(1 for _ in islice(without, with_count)) < with_count
 
@@ -99,7 +99,7 @@
         self._by_report.pop(run.id, None)
         entry = self._by_id[run.id] = RunEntry(run)
         self._with_start_time.pop(run.id, None)
-        if run.started_ms != START_NOT_TOLD:
+        if run.started_ms != START_UNKNOWN:
             self._with_start_time[run.id] = entry
         if run.number:
             self._by_number[run.number] = entry
--- a/src/agatethread/registry/_evacuations.py
+++ b/src/agatethread/registry/_evacuations.py
@@ -8,8 +8,8 @@
 import asyncio
 from collections.abc import Callable, Iterable
 
+from agatethread.registry._index_waiters import IndexWaiters
 from agatethread.registry._subscribers import Subscriber
-from agatethread.registry._waiting import IndexWaiters
 from agatethread.wire.registry_pb2 import Evacuations, RegistryMessage
 
 #: Time after which an unacknowledged change is sent again: longer than a round trip
@@ -21,7 +21,7 @@
 
 
 def _do_nothing() -> None:
-    """Do nothing; the default of `EvacuationPublisher.on_known`."""
+    """Do nothing; the default of `EvacuationPublisher.on_acknowledged`."""
 
 
 class EvacuationPublisher:
@@ -52,11 +52,11 @@
         self._waiters = IndexWaiters()
         self.newest = Evacuations()
         #: Version that all reachable entry instances have acknowledged.
-        self.known_version = 0
+        self.acknowledged_version = 0
         #: Called when that version increases, so that others are notified at once.
-        self.on_known: Callable[[], None] = _do_nothing
+        self.on_acknowledged: Callable[[], None] = _do_nothing
 
-    def offer(self, evacuations: Evacuations) -> bool:
+    def publish_newer(self, evacuations: Evacuations) -> bool:
         """Publish the evacuations of the log, unless they are published already.
 
         Parameters
@@ -98,13 +98,13 @@
                 subscriber.evacuations_sent_s = now_s
                 self._send(message, address)
         known_version = min(entry_versions, default=self.newest.version)
-        has_increased = known_version > self.known_version
-        self.known_version = known_version
+        has_increased = known_version > self.acknowledged_version
+        self.acknowledged_version = known_version
         if has_increased:
-            self.on_known()
-        self._waiters.settle(min([known_version, *control_versions]))
+            self.on_acknowledged()
+        self._waiters.complete_through(min([known_version, *control_versions]))
 
-    async def wait_until_known(self, version: int, timeout_s: float) -> bool:
+    async def wait_until_acknowledged(self, version: int, timeout_s: float) -> bool:
         """Wait until every reachable entry instance has a version.
 
         Parameters
@@ -128,7 +128,7 @@
         return True
 
 
-class KnownEvacuations:
+class ReceivedEvacuations:
     """The newest evacuations that a process has received.
 
     Parameters
@@ -142,11 +142,11 @@
         self.version = 0
 
     @property
-    def known_version(self) -> int:
+    def acknowledged_version(self) -> int:
         """Version that this process acknowledges."""
         return self.version
 
-    def take(self, evacuations: Evacuations) -> None:
+    def store(self, evacuations: Evacuations) -> None:
         """Store what a control instance publishes, unless it is not newer.
 
         Parameters
--- a/src/agatethread/registry/_waiting.py
+++ b/src/agatethread/registry/_index_waiters.py
@@ -23,13 +23,13 @@
         Returns
         -------
         Future
-            Removed by the next call of `settle` if it is cancelled.
+            Removed by the next call of `complete_through` if it is cancelled.
         """
         future = asyncio.get_running_loop().create_future()
         self._waiters.append((index, future))
         return future
 
-    def settle(self, acknowledged_index: int) -> None:
+    def complete_through(self, acknowledged_index: int) -> None:
         """Complete the futures whose index all receivers have acknowledged.
 
         Parameters
--- a/src/agatethread/registry/_labels.py
+++ b/src/agatethread/registry/_labels.py
@@ -2,10 +2,10 @@
 
 from xxhash import xxh32_intdigest
 
-from agatethread.registry._report import START_NOT_TOLD
+from agatethread.registry._report import START_UNKNOWN
 
 
-def label_of(number: int, started_ms: int = START_NOT_TOLD) -> int:
+def derive_label(number: int, started_ms: int = START_UNKNOWN) -> int:
     """Return the label that packets carry for a run, from its number and start time.
 
     Every instance derives the same label, so none has to be stored. Each start has its
@@ -25,6 +25,6 @@
         32 bits, never 0, which callers send before they know a backend server.
     """
     data = number.to_bytes(8, "big")
-    if started_ms != START_NOT_TOLD:
+    if started_ms != START_UNKNOWN:
         data += started_ms.to_bytes(8, "big")
     return xxh32_intdigest(data) or 1
--- a/src/agatethread/registry/_watchers.py
+++ b/src/agatethread/registry/_probing_entries.py
@@ -1,6 +1,6 @@
 """Stores the entry instances that probe a control instance without following it."""
 
-from agatethread.registry._memory import KnownEntry
+from agatethread.registry._hints import KnownEntry
 
 #: Longer than the few seconds between two probes of an entry instance.
 _RETENTION_S = 10.0
@@ -8,7 +8,7 @@
 _MAX_COUNT = 4_096
 
 
-class Watchers:
+class ProbingEntries:
     """Entry instances that sent a probe recently.
 
     Handles a power failure of the whole site, after which each entry instance waits for
@@ -18,7 +18,7 @@
     def __init__(self) -> None:
         self._probes: dict[bytes, tuple[str, float]] = {}
 
-    def note(self, address: bytes, failure_domain: str, now_s: float) -> None:
+    def store_probe(self, address: bytes, failure_domain: str, now_s: float) -> None:
         """Store the time of a probe.
 
         Parameters
@@ -33,7 +33,7 @@
         if len(self._probes) < _MAX_COUNT or address in self._probes:
             self._probes[address] = (failure_domain, now_s)
 
-    def known(self, now_s: float) -> list[KnownEntry]:
+    def list_recent(self, now_s: float) -> list[KnownEntry]:
         """Return the entry instances with a recent probe, and delete the others.
 
         Parameters
--- a/src/agatethread/registry/_publisher.py
+++ b/src/agatethread/registry/_publisher.py
@@ -4,10 +4,11 @@
 import secrets
 from collections.abc import Callable, Iterable, Iterator
 
-from agatethread.registry._chunks import RoutesOffer, split_routes
+from agatethread.registry._chunks import CompressedTable, split_routes
 from agatethread.registry._control_link import ControlLink
 from agatethread.registry._deltas import DeltaWriter
-from agatethread.registry._memory import KnownEntry
+from agatethread.registry._hints import KnownEntry
+from agatethread.registry._index_waiters import IndexWaiters
 from agatethread.registry._own_domain import has_self_sufficient_domain
 from agatethread.registry._presence import (
     UNKNOWN_RANK,
@@ -16,6 +17,7 @@
     count_entries_by_domain,
     rank_entries,
 )
+from agatethread.registry._probing_entries import ProbingEntries
 from agatethread.registry._runs import RunTable
 from agatethread.registry._send_rounds import (
     MAX_ROUND_MESSAGES,
@@ -24,8 +26,6 @@
 )
 from agatethread.registry._sightings import SightingPool
 from agatethread.registry._subscribers import Subscriber, describe_all, list_controls
-from agatethread.registry._waiting import IndexWaiters
-from agatethread.registry._watchers import Watchers
 from agatethread.wire.registry_pb2 import (
     PRESENCE_LEAVING,
     Delta,
@@ -84,7 +84,7 @@
         self._deltas = DeltaWriter(runs, self._incarnation, failure_domain, is_settled)
         self._subscribers: dict[bytes, Subscriber] = {}
         self._waiters = IndexWaiters()
-        self._offer: RoutesOffer | None = None
+        self._offer: CompressedTable | None = None
         self._chunks: list[RegistryMessage] = []
         self._last_flush_s = now_s()
         #: Messages of the last round, and the first subscriber of the next round.
@@ -94,7 +94,7 @@
         #: Greeted entry instances that have not polled yet.
         self._expected: dict[bytes, Subscriber] = {}
         self._sightings = SightingPool()
-        self._watchers = Watchers()
+        self._watchers = ProbingEntries()
         self._ranks: dict[bytes, EntryRank] = {}
         #: Reachable entry instances of the own failure domain.
         self._own_domain_count = 0
@@ -103,12 +103,12 @@
         #: Returns the other reachable control instances.
         self.list_other_controls: Callable[[], Iterable[ControlLink]] = tuple
 
-    def offer_routes(self, offer: RoutesOffer) -> None:
+    def offer_routes(self, offer: CompressedTable) -> None:
         """Send a routing table to each subscriber that has an older one.
 
         Parameters
         ----------
-        offer : RoutesOffer
+        offer : CompressedTable
             Agreed routing table.
         """
         is_first = self._offer is None
@@ -127,7 +127,9 @@
         tuple of KnownEntry
             Ordered by address.
         """
-        known = {entry.address: entry for entry in self._watchers.known(self._now_s())}
+        known = {
+            entry.address: entry for entry in self._watchers.list_recent(self._now_s())
+        }
         for address, subscriber in self._subscribers.items():
             if not subscriber.is_control:
                 known[address] = KnownEntry(address, subscriber.failure_domain)
@@ -178,7 +180,7 @@
             self._notify_waiters()
             return
         if poll.probe and poll.failure_domain != self._failure_domain:
-            self._watchers.note(address, poll.failure_domain, self._now_s())
+            self._watchers.store_probe(address, poll.failure_domain, self._now_s())
             self._send(self._make_greeting(), address)
             return
         subscriber = self._subscribers.get(address)
@@ -341,9 +343,9 @@
             return
         domain, now_s = subscriber.failure_domain, self._now_s()
         if not subscriber.is_control:
-            self._sightings.take(address, domain, sightings.runs, now_s)
+            self._sightings.store_sightings(address, domain, sightings.runs, now_s)
         elif domain != self._failure_domain:
-            self._sightings.take_sums(domain, sightings.runs, now_s)
+            self._sightings.store_sums(domain, sightings.runs, now_s)
 
     def send_sightings(self) -> None:
         """Send the digest of all sightings to entry instances, ten times a second.
@@ -361,7 +363,7 @@
             self._failure_domain, self.list_other_controls()
         ):
             return
-        sums = self._sightings.sum_up_domain(self._failure_domain, now_s)
+        sums = self._sightings.sum_domain(self._failure_domain, now_s)
         if sums.runs:
             message = RegistryMessage(sightings=sums)
             for address, subscriber in self.reachable_subscribers():
@@ -398,7 +400,7 @@
         seen_indexes = [
             subscriber.seen_index for _, subscriber in self.reachable_subscribers()
         ]
-        self._waiters.settle(min(seen_indexes, default=self._runs.index))
+        self._waiters.complete_through(min(seen_indexes, default=self._runs.index))
 
     def dump(self) -> list[dict[str, object]]:
         """Return the subscribers for a state dump.
--- a/src/agatethread/registry/_quality.py
+++ b/src/agatethread/registry/_quality.py
@@ -14,7 +14,7 @@
 )
 from agatethread.observability import Counters, Event, make_logger
 from agatethread.registry._answers import AnswerPool
-from agatethread.registry._labels import label_of
+from agatethread.registry._labels import derive_label
 from agatethread.wire.registry_pb2 import (
     AnswerSums,
     BackendRun,
@@ -45,7 +45,7 @@
     failure_domain: str
 
 
-class QualityKeeper:
+class QualityMonitor:
     """Judges each run for one control instance.
 
     Parameters
@@ -162,7 +162,9 @@
 
     def _judge(self, now_s: float) -> None:
         judgements: dict[int, Judgement] = {}
-        by_label = {label_of(run.number, run.started_ms): run for run in self._runs()}
+        by_label = {
+            derive_label(run.number, run.started_ms): run for run in self._runs()
+        }
         for domains in _group_by_service(by_label).values():
             judgements |= judge_service(
                 self._judgements, self._evidence, domains, now_s
@@ -231,7 +233,7 @@
             if judgement.weight < 1.0
         )
 
-    def quality_of(self, label: int) -> Quality:
+    def get_quality(self, label: int) -> Quality:
         """Return the quality of a run.
 
         Parameters
--- a/src/agatethread/registry/_report.py
+++ b/src/agatethread/registry/_report.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 
 #: Start time of a run that does not report it; before any reported one.
-START_NOT_TOLD = 0
+START_UNKNOWN = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
     warm_up_s : float
         Remaining time for which it is slow after its start.
     started_ms : int
-        Start of the run, Unix milliseconds by its own clock; `START_NOT_TOLD` if it
+        Start of the run, Unix milliseconds by its own clock; `START_UNKNOWN` if it
         does not report it.
     """
 
@@ -44,4 +44,4 @@
     sequence: int
     draining: bool = False
     warm_up_s: float = 0.0
-    started_ms: int = START_NOT_TOLD
+    started_ms: int = START_UNKNOWN
--- a/src/agatethread/registry/_run_logs.py
+++ b/src/agatethread/registry/_run_logs.py
@@ -9,7 +9,7 @@
 log = make_logger("registry")
 
 
-def log_not_taken(
+def log_rejected_report(
     report: Report, verdict: Verdict, holder: RunEntry | None, now_s: float
 ) -> None:
     """Log a report that was not accepted.
@@ -35,7 +35,7 @@
     )
 
 
-def log_end_not_taken(run: BackendRun, started_ms: int) -> None:
+def log_ignored_end(run: BackendRun, started_ms: int) -> None:
     """Log an end that does not apply to the known run.
 
     Parameters
@@ -53,7 +53,7 @@
     )
 
 
-def log_reports(run: BackendRun, is_new: bool) -> None:
+def log_accepted_report(run: BackendRun, is_new: bool) -> None:
     """Log a report that is sent to entry instances.
 
     Parameters
@@ -75,7 +75,7 @@
     )
 
 
-def log_stopped(run: BackendRun, age_s: float) -> None:
+def log_stopped_reporting(run: BackendRun, age_s: float) -> None:
     """Log a run that stopped reporting.
 
     Parameters
--- a/src/agatethread/registry/_runs.py
+++ b/src/agatethread/registry/_runs.py
@@ -9,10 +9,10 @@
 
 from agatethread.exceptions import ReportRefusedError
 from agatethread.registry._admission import (
-    KEPT_S,
-    Known,
+    RUN_RETENTION_S,
+    KnownRun,
     Verdict,
-    end_is_of,
+    end_applies_to,
     judge_report,
 )
 from agatethread.registry._entries import (
@@ -25,13 +25,13 @@
     to_report,
     to_run,
 )
-from agatethread.registry._report import START_NOT_TOLD, Report
+from agatethread.registry._report import START_UNKNOWN, Report
 from agatethread.registry._run_logs import (
-    log_end_not_taken,
+    log_accepted_report,
     log_ended,
-    log_not_taken,
-    log_reports,
-    log_stopped,
+    log_ignored_end,
+    log_rejected_report,
+    log_stopped_reporting,
 )
 from agatethread.wire.registry_pb2 import BackendRun
 
@@ -129,7 +129,7 @@
         # Before the first routing table, every service is accepted.
         if starts and self.services and report.service not in self.services:
             return Verdict.UNKNOWN_SERVICE
-        if report.started_ms == START_NOT_TOLD and self._entries.most_have_start():
+        if report.started_ms == START_UNKNOWN and self._entries.most_have_start():
             return Verdict.START_MISSING
         return verdict
 
@@ -144,8 +144,10 @@
             self._address_lease_s,
         )
 
-    def _to_known(self, entry: RunEntry | None) -> Known | None:
-        return Known(entry.run, self._now_s() - entry.last_report_s) if entry else None
+    def _to_known(self, entry: RunEntry | None) -> KnownRun | None:
+        return (
+            KnownRun(entry.run, self._now_s() - entry.last_report_s) if entry else None
+        )
 
     def _get_or_admit(self, report: Report, verdict: Verdict) -> RunEntry | None:
         """Return the existing or new entry of an accepted report, else None."""
@@ -153,9 +155,9 @@
             return self._entries.get(report.id)
         if verdict is Verdict.STARTS:
             return self._admit(report)
-        if verdict is not Verdict.OVERTAKEN:
+        if verdict is not Verdict.OUTDATED:
             holder = self._entries.get_address_holder(report.address, report.id)
-            log_not_taken(report, verdict, holder, self._now_s())
+            log_rejected_report(report, verdict, holder, self._now_s())
         return None
 
     def _admit(self, report: Report) -> RunEntry:
@@ -183,10 +185,10 @@
         run.warm_up_ms = warm_up_ms
         if changed:
             self._mark_changed(entry)
-            log_reports(run, is_new)
+            log_accepted_report(run, is_new)
         return changed
 
-    def end_run(self, run_id: str, started_ms: int = START_NOT_TOLD) -> bool:
+    def end_run(self, run_id: str, started_ms: int = START_UNKNOWN) -> bool:
         """Mark a run as ended by its own request.
 
         Parameters
@@ -208,7 +210,7 @@
         """
         ended = BackendRun(id=run_id, started_ms=started_ms, ended=True)
         changed = self._apply_end(ended, "it said so")
-        if started_ms == START_NOT_TOLD and not self._entries.get(run_id).run.ended:
+        if started_ms == START_UNKNOWN and not self._entries.get(run_id).run.ended:
             raise ReportRefusedError(run_id, "it may be the end of an earlier run")
         return changed
 
@@ -277,8 +279,8 @@
             return self._store_unknown_end(entry, ended, reason)
         if entry.run.ended:
             return False
-        if not end_is_of(entry.run, ended.started_ms):
-            log_end_not_taken(entry.run, ended.started_ms)
+        if not end_applies_to(entry.run, ended.started_ms):
+            log_ignored_end(entry.run, ended.started_ms)
             return False
         entry.run.draining |= ended.draining
         self._end(entry, reason)
@@ -348,14 +350,14 @@
         run = entry.run
         age_s = now_s - entry.last_report_s
         if run.ended:
-            if age_s > KEPT_S:
+            if age_s > RUN_RETENTION_S:
                 self._entries.remove(entry)
             return
         if run.silent or age_s <= self._silent_s:
             return
         run.silent = True
         self._mark_changed(entry)
-        log_stopped(run, age_s)
+        log_stopped_reporting(run, age_s)
 
     def can_send_by_number(self, run_id: str, after_index: int) -> bool:
         """Return whether a report may be sent by run number after an index."""
--- a/src/agatethread/registry/_sightings.py
+++ b/src/agatethread/registry/_sightings.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._by_label: dict[int, dict[bytes, _StoredSighting]] = {}
 
-    def take(
+    def store_sightings(
         self,
         source: bytes,
         failure_domain: str,
@@ -61,7 +61,7 @@
             by_source = self._by_label.setdefault(sighting.label, {})
             by_source[source] = _StoredSighting(sighting, failure_domain, now_s)
 
-    def take_sums(
+    def store_sums(
         self, failure_domain: str, sightings: Iterable[Sighting], now_s: float
     ) -> None:
         """Store the sums of another control instance for its failure domain.
@@ -71,7 +71,7 @@
         failure_domain : str
             Of that control instance.
         sightings : iterable of Sighting
-            As `sum_up_domain` returned them.
+            As `sum_domain` returned them.
         now_s : float
             Present time.
         """
@@ -81,7 +81,7 @@
             source = f"{failure_domain} {kind}".encode()
             by_source[source] = _StoredSighting(sighting, failure_domain, now_s, True)
 
-    def sum_up_domain(self, failure_domain: str, now_s: float) -> Sightings:
+    def sum_domain(self, failure_domain: str, now_s: float) -> Sightings:
         """Return the sums of the sightings of a failure domain's entry instances.
 
         Handles dozens of entry instances that follow control instances of their own
--- a/src/agatethread/registry/_subscription.py
+++ b/src/agatethread/registry/_subscription.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable, Mapping
 
 from agatethread.observability import Counters, Event, make_logger
-from agatethread.registry._chunks import ChunkedTable
+from agatethread.registry._chunks import TableAssembler
 from agatethread.registry._control_link import ControlLink
-from agatethread.registry._evacuations import EvacuationPublisher, KnownEvacuations
+from agatethread.registry._evacuations import EvacuationPublisher, ReceivedEvacuations
 from agatethread.registry._own_domain import (
     OwnDomainChoice,
     add_own_domain,
@@ -17,7 +17,7 @@
 )
 from agatethread.registry._presence import DomainView, merge_counts
 from agatethread.registry._probing import Prober
-from agatethread.registry._report import START_NOT_TOLD
+from agatethread.registry._report import START_UNKNOWN
 from agatethread.registry._selection import (
     choose_followed,
     choose_routes_source,
@@ -74,7 +74,7 @@
         Called with each newer routing table.
     counters : Counters
         Counters of rejected messages.
-    evacuations : KnownEvacuations or EvacuationPublisher, optional
+    evacuations : ReceivedEvacuations or EvacuationPublisher, optional
         Store of received evacuations; a control instance passes its publisher, which
         has them from the log.
     """
@@ -90,7 +90,7 @@
         on_run: Callable[[BackendRun], None],
         on_routes: Callable[[RoutingTable], None],
         counters: Counters,
-        evacuations: KnownEvacuations | EvacuationPublisher | None = None,
+        evacuations: ReceivedEvacuations | EvacuationPublisher | None = None,
     ):
         self._failure_domain = failure_domain
         self._is_control = is_control
@@ -100,8 +100,8 @@
         self._on_run = on_run
         self._on_routes = on_routes
         self._counters = counters
-        self._evacuations = evacuations or KnownEvacuations()
-        self._incoming_table = ChunkedTable()
+        self._evacuations = evacuations or ReceivedEvacuations()
+        self._incoming_table = TableAssembler()
         #: Presence of this entry instance, sent with polls.
         self.presence: Presence = PRESENCE_UNKNOWN
         self.routes_version = 0
@@ -240,7 +240,7 @@
             presence=self.presence,
             probe=probe,
             without_routes=routes_source is not None and routes_source is not link,
-            evacuations_version=self._evacuations.known_version,
+            evacuations_version=self._evacuations.acknowledged_version,
             takes_numbers=self._is_control,
             dispatchers_digest=link.dispatchers_digest,
         )
@@ -325,11 +325,11 @@
         if link is None or chunk.version <= self.routes_version:
             return
         # Applied before the table, so that no flow is placed without evacuations.
-        self._evacuations.take(chunk.evacuations)
+        self._evacuations.store(chunk.evacuations)
         if not 0 <= chunk.number < chunk.count:
             self._counters["registry_unreadable"] += 1
             return
-        table = self._incoming_table.add(chunk)
+        table = self._incoming_table.add_chunk(chunk)
         if table is None:
             return
         self.routes_version = table.version
@@ -349,7 +349,7 @@
         link = self.links.get(source)
         if link is None:
             return
-        self._evacuations.take(evacuations)
+        self._evacuations.store(evacuations)
         self._acknowledge(link)
 
     def is_complete(self) -> bool:
@@ -380,7 +380,7 @@
         ]
         return merge_counts(link.domain for link in links)
 
-    def is_reporting(self, run_id: str, started_ms: int = START_NOT_TOLD) -> bool:
+    def is_reporting(self, run_id: str, started_ms: int = START_UNKNOWN) -> bool:
         """Return whether a run may be alive, according to reachable instances.
 
         Parameters
--- a/tests/datapath/fixtures.py
+++ b/tests/datapath/fixtures.py
@@ -8,7 +8,7 @@
     LabelForwarder,
     Packet,
     PacketCodec,
-    label_of,
+    derive_label,
 )
 from agatethread.observability import Counters
 from agatethread.routing import Route, RouteTable, Target
@@ -35,7 +35,7 @@
 def packet(caller_port=1, number=0, **fields):
     """Return a packet of a flow; `number` is the run of an open flow."""
     values = {
-        "label": label_of(number) if number else 0,
+        "label": derive_label(number) if number else 0,
         "key": FlowKey(1, caller_port, HOST, 443),
         "opens": False,
         "copy": 0,
--- a/tests/datapath/quality_simulation.py
+++ b/tests/datapath/quality_simulation.py
@@ -11,7 +11,7 @@
 from agatethread.datapath._answers import AnswerMonitor
 from agatethread.datapath._weights import RunWeightStore
 from agatethread.observability import Counters
-from agatethread.registry import QualityKeeper, decode_message, label_of
+from agatethread.registry import QualityMonitor, decode_message, derive_label
 from agatethread.wire.registry_pb2 import RegistryMessage
 from tests.datapath.fixtures import HOST, run
 from tests.fakes import Clock, address
@@ -76,7 +76,7 @@
 
     def make_keeper(self, number):
         control_address = address(number)
-        return QualityKeeper(
+        return QualityMonitor(
             DOMAINS[number],
             lambda: [server.run_report for server in self.servers],
             lambda: self.by_address.items(),
@@ -189,8 +189,8 @@
         count = 0
         for server in servers or self.servers:
             control_address = address(DOMAINS.index(server.run_report.failure_domain))
-            label = label_of(server.run_report.number, server.run_report.started_ms)
-            count += self.keepers[control_address].quality_of(label) in qualities
+            label = derive_label(server.run_report.number, server.run_report.started_ms)
+            count += self.keepers[control_address].get_quality(label) in qualities
         return count
 
     def count_ejected(self, servers=None):
--- a/tests/datapath/test_forwarder.py
+++ b/tests/datapath/test_forwarder.py
@@ -1,6 +1,6 @@
 from logbook import TestHandler
 
-from agatethread.datapath import label_of
+from agatethread.datapath import derive_label
 from agatethread.observability import Event
 from tests.datapath.fixtures import ForwarderCase, opening, packet, run, table
 
@@ -11,7 +11,7 @@
         self.view.update_run(run(1, service="archive"))
         self.view.update_run(run(2))
         self.assertEqual(self.handle(opening()), [("forward", 2)])
-        self.assertEqual(self.sent[0][0][2], label_of(2))
+        self.assertEqual(self.sent[0][0][2], derive_label(2))
 
     def test_counts_packets_to_other_failure_domains(self):
         """Packets and bytes to other failure domains are counted."""
@@ -150,7 +150,7 @@
                 self.setUp()
                 for number in order:
                     self.view.update_run(run(number, number=77))
-                kept = self.view.get_by_label(label_of(77))
+                kept = self.view.get_by_label(derive_label(77))
                 self.assertEqual(kept.id, "i-1")
                 for port in range(5):
                     self.handle(opening(port))
@@ -177,7 +177,7 @@
         (line,) = [
             record for record in handler.records if record.message == Event.FLOW_RESET
         ]
-        self.assertEqual(line.kwargs["label"], label_of(1))
+        self.assertEqual(line.kwargs["label"], derive_label(1))
         self.assertEqual(self.end_flows(), [])
 
     def test_does_not_reset_flow_before_it_is_open(self):
@@ -190,6 +190,6 @@
     def test_does_not_reset_flow_of_replaced_run(self):
         """The later run of the same id may hold the flow."""
         self.view.update_run(run(1, started_ms=1_000))
-        self.handle(packet(7, label=label_of(1, 1_000)))
+        self.handle(packet(7, label=derive_label(1, 1_000)))
         self.view.update_run(run(1, started_ms=2_000))
         self.assertEqual(self.end_flows(), [])
--- a/tests/datapath/test_reachability.py
+++ b/tests/datapath/test_reachability.py
@@ -4,7 +4,7 @@
 import unittest
 from unittest import mock
 
-from agatethread.datapath import Backend, BackendView, LabelForwarder, label_of
+from agatethread.datapath import Backend, BackendView, LabelForwarder, derive_label
 from agatethread.datapath._reachability import is_unreachable
 from agatethread.observability import Counters
 from agatethread.routing import Route, RouteTable, Target
@@ -271,4 +271,4 @@
 
     def test_labels_differ(self):
         """The simulation needs seven distinct labels."""
-        self.assertEqual(len({label_of(number) for number in range(1, 8)}), 7)
+        self.assertEqual(len({derive_label(number) for number in range(1, 8)}), 7)
--- a/tests/datapath/test_restarts.py
+++ b/tests/datapath/test_restarts.py
@@ -1,4 +1,4 @@
-from agatethread.datapath import label_of
+from agatethread.datapath import derive_label
 from tests.datapath.fixtures import ForwarderCase, opening, packet, run
 from tests.fakes import address
 
@@ -10,7 +10,7 @@
         self.view.update_run(run(1, started_ms=started_ms, sequence=sequence, **fields))
 
     def label(self, started_ms):
-        return label_of(1, started_ms)
+        return derive_label(1, started_ms)
 
     def test_drops_packet_with_label_of_unknown_run(self):
         """The end of an earlier run does not affect flows of a later one."""
--- a/tests/datapath/test_sightings.py
+++ b/tests/datapath/test_sightings.py
@@ -1,6 +1,6 @@
 import unittest
 
-from agatethread.datapath import Backend, FlowLoads, label_of
+from agatethread.datapath import Backend, FlowLoads, derive_label
 from agatethread.datapath._reachability import PooledSighting, is_unreachable
 from agatethread.datapath._sightings import SightingExchange
 from agatethread.registry import SightingPool
@@ -163,7 +163,7 @@
             forwarder = play.forwarder
             forwarder.loads = FlowLoads(10_000)
             for number in range(1, 8):
-                backend = forwarder._view.get_by_label(label_of(number))
+                backend = forwarder._view.get_by_label(derive_label(number))
                 backend.flows = backend.in_flight = 0
                 backend.waiting.clear()
 
@@ -171,7 +171,9 @@
         for number, play in enumerate(self.plays):
             play.clock.value_s = now_s
             sightings = play.forwarder.sightings()
-            self.pool.take(bytes([number]), "abc"[number % 3], sightings, now_s)
+            self.pool.store_sightings(
+                bytes([number]), "abc"[number % 3], sightings, now_s
+            )
         digest = self.pool.digest(now_s)
         for play in self.plays:
             play.forwarder.sighting_exchange.receive(digest)
--- a/tests/datapath/test_unreachable.py
+++ b/tests/datapath/test_unreachable.py
@@ -1,6 +1,6 @@
 from dataclasses import replace
 
-from agatethread.datapath import label_of
+from agatethread.datapath import derive_label
 from agatethread.routing import RouteTable
 from tests.datapath.fixtures import ForwarderCase, packet, run, table
 
@@ -16,7 +16,7 @@
         }
         self.forwarder.apply_table(RouteTable(2, routes))
         self.view.update_run(run(1))
-        self.backend = self.view.get_by_label(label_of(1))
+        self.backend = self.view.get_by_label(derive_label(1))
         self.clock.value_s += 10.0
         self.backend.mark_unreachable(self.clock())
 
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -32,19 +32,19 @@
     def test_refutes_its_own_death(self):
         """An instance that is reported dead publishes a newer state."""
         table = fleet_table(3)
-        table.apply(dead(table.me))
-        self.assertEqual(table.me.state, MemberState.ALIVE)
+        table.apply(dead(table.own_member))
+        self.assertEqual(table.own_member.state, MemberState.ALIVE)
         others = fleet_table(3, me=2)
         others.apply(dead(member(1)))
-        others.apply(table.me)
-        self.assertTrue(others.is_alive(table.me.ref))
+        others.apply(table.own_member)
+        self.assertTrue(others.is_alive(table.own_member.ref))
 
     def test_raises_incarnation_after_clock_was_set_back(self):
         """A start with an incarnation below the previous one chooses a higher one."""
         table = MemberTable(member(1))
         table.apply(replace(member(1), incarnation=50))
-        self.assertGreater(table.me.incarnation, 50)
-        self.assertTrue(table.is_alive(table.me.ref))
+        self.assertGreater(table.own_member.incarnation, 50)
+        self.assertTrue(table.is_alive(table.own_member.ref))
 
     def test_previous_incarnation_is_not_alive_after_restart(self):
         """References to the previous incarnation of an instance are not alive."""
--- a/tests/registry/test_admission.py
+++ b/tests/registry/test_admission.py
@@ -2,10 +2,10 @@
 
 from agatethread.registry import Report
 from agatethread.registry._admission import (
-    KEPT_S,
-    Known,
+    RUN_RETENTION_S,
+    KnownRun,
     Verdict,
-    end_is_of,
+    end_applies_to,
     judge_report,
 )
 from agatethread.wire.registry_pb2 import BackendRun
@@ -26,7 +26,7 @@
         "sequence": 10,
         "started_ms": 5_000,
     }
-    return Known(BackendRun(**(values | fields)), last_report_age_s)
+    return KnownRun(BackendRun(**(values | fields)), last_report_age_s)
 
 
 def check(new_report: Report, known_run=None, holder=None, same_number_run=None):
@@ -47,12 +47,12 @@
 
     def test_accepts_only_higher_sequence_within_a_run(self):
         """A run continues with a higher sequence number, until it ends."""
-        for sequence, expected in ((10, Verdict.OVERTAKEN), (11, Verdict.CONTINUES)):
+        for sequence, expected in ((10, Verdict.OUTDATED), (11, Verdict.CONTINUES)):
             new_report = report(started_ms=5_000, sequence=sequence)
             self.assertIs(check(new_report, make_known()), expected)
         ended = make_known(ended=True)
         self.assertIs(
-            check(report(started_ms=5_000, sequence=11), ended), Verdict.OVERTAKEN
+            check(report(started_ms=5_000, sequence=11), ended), Verdict.OUTDATED
         )
 
     def test_rejects_missing_start_time_where_one_is_known(self):
@@ -92,7 +92,7 @@
             id="i-2", last_report_age_s=HOLDER_TIMEOUT_S + 5, silent=True
         )
         self.assertIs(check(earlier, holder=silent), Verdict.ADDRESS_HELD)
-        expired = make_known(id="i-2", last_report_age_s=KEPT_S)
+        expired = make_known(id="i-2", last_report_age_s=RUN_RETENTION_S)
         self.assertIs(check(earlier, holder=expired), Verdict.STARTS)
 
     def test_holder_keeps_address_until_timeout_without_start_times(self):
@@ -116,10 +116,10 @@
         """A later run than the one that ended goes on."""
         run = make_known().run
         for started_ms, expected in ((4_999, False), (5_000, True), (5_001, True)):
-            self.assertEqual(end_is_of(run, started_ms), expected)
+            self.assertEqual(end_applies_to(run, started_ms), expected)
 
     def test_end_without_start_time_applies_to_draining_run(self):
         """A backend server drains before it ends, so it does not mean another run."""
-        self.assertFalse(end_is_of(make_known().run, 0))
-        self.assertTrue(end_is_of(make_known(draining=True).run, 0))
-        self.assertTrue(end_is_of(make_known(started_ms=0).run, 0))
+        self.assertFalse(end_applies_to(make_known().run, 0))
+        self.assertTrue(end_applies_to(make_known(draining=True).run, 0))
+        self.assertTrue(end_applies_to(make_known(started_ms=0).run, 0))
--- a/tests/registry/test_evacuations.py
+++ b/tests/registry/test_evacuations.py
@@ -91,10 +91,10 @@
         publisher = world.publishers[address(0)]
         world.cut = {world.entry_address}
         world.evacuate(7, "b")
-        self.assertFalse(await publisher.wait_until_known(7, 0.01))
+        self.assertFalse(await publisher.wait_until_acknowledged(7, 0.01))
         world.cut = set()
         world.step(4)
-        self.assertTrue(await publisher.wait_until_known(7, 0.01))
+        self.assertTrue(await publisher.wait_until_acknowledged(7, 0.01))
 
     async def test_wait_includes_entries_of_other_control_instances(self):
         """It includes an entry instance that only its own domain's control serves."""
@@ -106,16 +106,16 @@
         world.cut_pairs = {frozenset((world.entry_address, place)) for place in home}
         world.evacuate(7, "b")
         world.deliver()
-        self.assertFalse(await publisher.wait_until_known(7, 0.01))
+        self.assertFalse(await publisher.wait_until_acknowledged(7, 0.01))
         world.cut_pairs = set()
         world.step(4)
-        self.assertTrue(await publisher.wait_until_known(7, 0.01))
+        self.assertTrue(await publisher.wait_until_acknowledged(7, 0.01))
 
     async def test_does_not_wait_without_reachable_entries(self):
         """Without entry instances the request is answered at once."""
         world = World(("a",))
         world.evacuate(7, "b")
-        is_known = await world.publishers[address(0)].wait_until_known(7, 0.01)
+        is_known = await world.publishers[address(0)].wait_until_acknowledged(7, 0.01)
         self.assertTrue(is_known)
 
 
--- a/tests/registry/test_quality.py
+++ b/tests/registry/test_quality.py
@@ -3,22 +3,22 @@
 
 from agatethread.balancing import Quality
 from agatethread.observability import Counters
-from agatethread.registry import QualityKeeper, label_of
+from agatethread.registry import QualityMonitor, derive_label
 from agatethread.wire.registry_pb2 import RegistryMessage
 from tests.datapath.fixtures import run
 from tests.fakes import Clock, address
 from tests.registry.test_answers import sums
 
 RUNS = [run(nth) for nth in range(1, 13)]
-LABELS = [label_of(each.number, each.started_ms) for each in RUNS]
+LABELS = [derive_label(each.number, each.started_ms) for each in RUNS]
 PEER, UNKNOWN_SENDER, ENTRY = address(2), address(9), address(100)
 
 
-class TestQualityKeeper(unittest.TestCase):
+class TestQualityMonitor(unittest.TestCase):
     def setUp(self):
         self.clock, self.counters, self.sent = Clock(), Counters(), []
         entry = SimpleNamespace(failure_domain="a")
-        self.keeper = QualityKeeper(
+        self.keeper = QualityMonitor(
             "a",
             lambda: RUNS,
             lambda: [(address(100 + nth), entry) for nth in range(4)],
@@ -118,8 +118,8 @@
         """A run that drains is left out of the judgement."""
         self.simulate(1.0)
         self.simulate(1.0, slow={3})
-        self.assertIsNot(self.keeper.quality_of(LABELS[3]), Quality.GOOD)
+        self.assertIsNot(self.keeper.get_quality(LABELS[3]), Quality.GOOD)
         RUNS[3].draining = True
         self.addCleanup(RUNS[3].ClearField, "draining")
         self.simulate(0.2, slow={3})
-        self.assertIs(self.keeper.quality_of(LABELS[3]), Quality.GOOD)
+        self.assertIs(self.keeper.get_quality(LABELS[3]), Quality.GOOD)
--- a/tests/registry/test_sightings.py
+++ b/tests/registry/test_sightings.py
@@ -14,7 +14,7 @@
         self.pool = SightingPool()
 
     def store(self, source, domain="a", now_s=10.0, **fields):
-        self.pool.take(source, domain, [sighting(**fields)], now_s)
+        self.pool.store_sightings(source, domain, [sighting(**fields)], now_s)
 
     def digest(self, now_s=10.0):
         return list(self.pool.digest(now_s).runs)
--- a/tests/registry/test_sums.py
+++ b/tests/registry/test_sums.py
@@ -28,10 +28,10 @@
         whole, home, away = SightingPool(), SightingPool(), SightingPool()
         for number, domain, sighting in sightings:
             source = f"{domain}{number}".encode()
-            whole.take(source, domain, [sighting], 10.0)
+            whole.store_sightings(source, domain, [sighting], 10.0)
             pool = home if domain == "a" else away
-            pool.take(source, domain, [sighting], 10.0)
-        home.take_sums("b", away.sum_up_domain("b", 10.0).runs, 10.0)
+            pool.store_sightings(source, domain, [sighting], 10.0)
+        home.store_sums("b", away.sum_domain("b", 10.0).runs, 10.0)
         self.assertEqual(*(by_label(pool.digest(10.0)) for pool in (home, whole)))
 
     def test_counts_instance_in_sum_and_direct_sighting_once(self):
@@ -39,15 +39,17 @@
         home, away = SightingPool(), SightingPool()
         for number in range(3):
             sighting = Sighting(label=1, waiting=2, silent_ms=500)
-            away.take(b"%d" % number, "b", [sighting], 10.0)
-        home.take(b"1", "b", [Sighting(label=1, waiting=2, silent_ms=500)], 10.0)
-        home.take_sums("b", away.sum_up_domain("b", 10.0).runs, 10.0)
+            away.store_sightings(b"%d" % number, "b", [sighting], 10.0)
+        home.store_sightings(
+            b"1", "b", [Sighting(label=1, waiting=2, silent_ms=500)], 10.0
+        )
+        home.store_sums("b", away.sum_domain("b", 10.0).runs, 10.0)
         (total,) = home.digest(10.0).runs
         self.assertEqual((total.waiting, total.observers, total.domains), (6, 3, 1))
 
     def test_deletes_sum_that_is_not_repeated(self):
         """A sum expires sooner than a sighting, since its parts are older."""
         home = SightingPool()
-        home.take_sums("b", [Sighting(label=1, waiting=9, observers=4)], 10.0)
+        home.store_sums("b", [Sighting(label=1, waiting=9, observers=4)], 10.0)
         self.assertEqual(len(home.digest(10.2).runs), 1)
         self.assertEqual(len(home.digest(10.4).runs), 0)
--- a/tests/registry/worlds.py
+++ b/tests/registry/worlds.py
@@ -5,10 +5,10 @@
 
 from agatethread.observability import Counters
 from agatethread.registry import (
+    CompressedTable,
     EvacuationPublisher,
-    KnownEvacuations,
+    ReceivedEvacuations,
     RegistryPublisher,
-    RoutesOffer,
     RunTable,
     Subscription,
     decode_message,
@@ -23,7 +23,7 @@
     table = RoutingTable(version=version, services=["tab"])
     for number in range(routes):
         table.routes.append(TableRoute(host=random.getrandbits(32), port=number + 1))
-    return RoutesOffer(version, zlib.compress(table.SerializeToString()))
+    return CompressedTable(version, zlib.compress(table.SerializeToString()))
 
 
 class World:
@@ -57,7 +57,7 @@
             self.runs.append,
             self.tables.append,
             Counters(),
-            KnownEvacuations(self.evacuated.append),
+            ReceivedEvacuations(self.evacuated.append),
         )
 
     def start_hub(self, number, domain, seeds):
@@ -88,7 +88,7 @@
             publisher,
         )
         self.hubs[place] = (table, hub)
-        publisher.on_known = link.poll
+        publisher.on_acknowledged = link.poll
         hub.list_other_controls = link.reachable_links
         link.on_numbered_report = table.apply_numbered_report
         self.links[place] = link
@@ -150,7 +150,7 @@
         """Offer an evacuation at some control instances."""
         for number in range(len(self.hubs)) if numbers is None else numbers:
             evacuations = Evacuations(version=version, failure_domains=domains)
-            self.publishers[address(number)].offer(evacuations)
+            self.publishers[address(number)].publish_newer(evacuations)
 
     def received_runs(self):
         """Return the last received state of each run at the entry instance."""
