--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -23,8 +23,8 @@
 from agatethread.settings import (
     DEFAULT_POLICIES,
     Policies,
+    parse_data_class,
     policy_fields,
-    structure_checked,
     switch_off,
 )
 
@@ -142,7 +142,7 @@
             policies = switch_off(policies, name)
             continue
         text = json.dumps(asdict(policies) | {name: json.loads(value)})
-        policies = structure_checked(variant, text, Policies, SettingsError)
+        policies = parse_data_class(variant, text, Policies, SettingsError)
     return policies
 
 
@@ -163,7 +163,7 @@
         return
     for number, line in enumerate(path.read_text().splitlines(), 1):
         try:
-            yield structure_checked(f"{path}:{number}", line, Record, SettingsError)
+            yield parse_data_class(f"{path}:{number}", line, Record, SettingsError)
         except SettingsError as error:
             print(error.exceptions[0], "(will be played again)", file=sys.stderr)
 
@@ -205,7 +205,7 @@
     if done.returncode or not lines:
         raise PlayFailedError(f"{play}: exit code {done.returncode}: {done.stderr}")
     try:
-        return structure_checked(str(play), lines[-1], Outcome, SettingsError)
+        return parse_data_class(str(play), lines[-1], Outcome, SettingsError)
     except SettingsError as error:
         raise PlayFailedError(f"{play}: {error.exceptions[0]}") from None
 
--- a/benchmarks/documents.py
+++ b/benchmarks/documents.py
@@ -14,7 +14,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-from agatethread.cli import ControlTarget, all_statuses, apply_command
+from agatethread.cli import ControlTarget, apply_command, query_statuses
 from agatethread.wire.control_pb2 import Command, PutDocument
 from standins.fleet import Fleet
 from standins.layouts import LAYOUTS
@@ -25,7 +25,7 @@
 
 async def _lagging(target: ControlTarget, index: int) -> bool:
     best: dict[str, int] = {}
-    for status in await all_statuses(target):
+    for status in await query_statuses(target):
         for watcher in status.watchers:
             if watcher.connected:
                 applied = max(watcher.applied_index, best.get(watcher.instance, 0))
--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -25,8 +25,8 @@
     PacketCodec,
     derive_label,
 )
-from agatethread.observability import Counters, LineBudget, LineWriter
-from agatethread.observability._logging import BoundedHandler
+from agatethread.observability import Counters, LineRateLimiter, LineWriter
+from agatethread.observability._logging import RateLimitedHandler
 from agatethread.routing import Route, RouteTable, Target
 from agatethread.wire import pack_address
 from agatethread.wire.registry_pb2 import BackendRun
@@ -111,7 +111,7 @@
         return spent_s
 
 
-def _handler(is_read: bool) -> BoundedHandler:
+def _handler(is_read: bool) -> RateLimitedHandler:
     reading, writing = os.pipe()
     if is_read:
 
@@ -122,8 +122,10 @@
         threading.Thread(target=read, daemon=True).start()
     # A second passes faster here than its packets would take to come, so the bound on
     # lines a second is lifted: this is what they cost at most.
-    budget = LineBudget(rate_per_s=1e9, burst=1e9)
-    return BoundedHandler(LineWriter(writing, batch_bytes=4_096), budget, logbook.INFO)
+    budget = LineRateLimiter(rate_per_s=1e9, burst=1e9)
+    return RateLimitedHandler(
+        LineWriter(writing, batch_bytes=4_096), budget, logbook.INFO
+    )
 
 
 def main() -> None:
--- a/src/agatethread/cli/__init__.py
+++ b/src/agatethread/cli/__init__.py
@@ -2,16 +2,16 @@
 
 from agatethread.cli._calls import (
     ControlTarget,
-    all_statuses,
     apply_command,
     dump_instance,
+    query_statuses,
 )
 from agatethread.cli._ctl import run_ctl
 from agatethread.cli._daemon import run_daemon
 
 __all__ = [
     "ControlTarget",
-    "all_statuses",
+    "query_statuses",
     "apply_command",
     "dump_instance",
     "run_ctl",
--- a/src/agatethread/cli/_calls.py
+++ b/src/agatethread/cli/_calls.py
@@ -154,7 +154,7 @@
     return await _call_until_answered(target, call)
 
 
-async def all_statuses(target: ControlTarget) -> list[StatusReply]:
+async def query_statuses(target: ControlTarget) -> list[StatusReply]:
     """Query the status of every control instance.
 
     Parameters
@@ -228,7 +228,7 @@
 ) -> tuple[list[StatusReply], UnavailableError | None]:
     # Errors are retried: the change was accepted, so a brief outage does not matter.
     try:
-        return await all_statuses(target), None
+        return await query_statuses(target), None
     except UnavailableError as error:
         return [], error
 
@@ -289,7 +289,7 @@
 
 
 async def _query_admin_address(target: ControlTarget, instance: str) -> str:
-    for status in await all_statuses(target):
+    for status in await query_statuses(target):
         for watcher in status.watchers:
             if watcher.instance == instance and watcher.admin:
                 return watcher.admin
--- a/src/agatethread/cli/_ctl.py
+++ b/src/agatethread/cli/_ctl.py
@@ -11,7 +11,7 @@
 
 from agatethread import __version__
 from agatethread.cli._calls import ControlTarget, dump_instance, get_document
-from agatethread.cli._calls import all_statuses as read_statuses
+from agatethread.cli._calls import query_statuses as read_statuses
 from agatethread.cli._changes import (
     apply_document,
     evacuate_domain,
@@ -19,6 +19,8 @@
     set_draining,
     wait_and_report,
 )
+from agatethread.cli._explanation import explain, read_logs
+from agatethread.cli._explanation_text import format_explanation
 from agatethread.cli._policies import describe_policies, read_policies
 from agatethread.cli._results import (
     EXIT_DONE,
@@ -26,8 +28,6 @@
     EXIT_USAGE,
     print_result,
 )
-from agatethread.cli._story import explain, read_logs
-from agatethread.cli._story_text import format_explanation
 from agatethread.exceptions import (
     AgatethreadError,
     DocumentError,
--- a/src/agatethread/cli/_story_text.py
+++ b/src/agatethread/cli/_explanation_text.py
@@ -8,7 +8,7 @@
 from datetime import datetime
 from typing import Any
 
-from agatethread.cli._story import Explanation, LogLine
+from agatethread.cli._explanation import Explanation, LogLine
 
 #: Longest pause between lines of a group. Longer than updates take to reach all
 #: instances; later lines are due to another event.
--- a/src/agatethread/control/_orders.py
+++ b/src/agatethread/control/_orders.py
@@ -105,7 +105,7 @@
         current_version = node.documents.routes.version
         if document.version <= current_version:
             log.info(
-                Event.CHANGE_OVERTAKEN,
+                Event.CHANGE_SUPERSEDED,
                 version=document.version,
                 version_held=current_version,
             )
--- a/src/agatethread/control/_raft.py
+++ b/src/agatethread/control/_raft.py
@@ -208,7 +208,7 @@
             try:
                 await self._run_election()
             except DiskFullError as error:
-                log.error(Event.CANT_STAND, error=str(error))
+                log.error(Event.CANDIDACY_FAILED, error=str(error))
                 self._disk_health.pause_candidacy()
 
     def _check_quorum(self) -> None:
@@ -284,13 +284,13 @@
 
     def _become_follower(self, leader: str) -> None:
         if self.role is Role.LEADER:
-            log.info(Event.LEADER_NO_MORE, term=self.term, leader=leader)
+            log.info(Event.LEADERSHIP_ENDED, term=self.term, leader=leader)
             self._fail_pending()
         self.role = Role.FOLLOWER
         self.leader = leader
 
     def _become_leader(self) -> None:
-        log.info(Event.LEADER, term=self.term, last_index=self.last_index)
+        log.info(Event.LEADERSHIP_STARTED, term=self.term, last_index=self.last_index)
         self.role = Role.LEADER
         self.leader = self.name
         self._disk_health.record_success()
@@ -363,7 +363,7 @@
             except UnavailableError:
                 has_more = False
             except DiskFullError as error:
-                log.error(Event.TERM_NOT_TAKEN, error=str(error))
+                log.error(Event.TERM_NOT_SAVED, error=str(error))
                 has_more = False
             if has_more:
                 continue
@@ -537,7 +537,7 @@
             log.warning(Event.COMMIT_NOT_SAVED, error=str(error))
         self._notify_listeners()
         if self.role is Role.LEADER and not self.is_voter:
-            log.info(Event.LEADER_NO_VOTER, term=self.term)
+            log.info(Event.LEADER_NOT_VOTER, term=self.term)
             self._become_follower("")
 
     def _fail_pending(self) -> None:
@@ -644,7 +644,7 @@
 
     def _record_write_failure(self) -> None:
         if self._disk_health.record_failure():
-            log.error(Event.LEADER_CANT_WRITE, term=self.term)
+            log.error(Event.LEADER_WRITE_FAILED, term=self.term)
             self._become_follower("")
 
     def _wake_followers(self) -> None:
--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -23,7 +23,7 @@
 from agatethread.control._routing_settings import RoutingControlSettings
 from agatethread.control._routing_state import dump_log, make_measures
 from agatethread.control._storage import LogStorage
-from agatethread.observability import Counters, Event, Measures, make_logger
+from agatethread.observability import Counters, Event, Metrics, make_logger
 from agatethread.registry import (
     CompressedTable,
     DispatcherDirectory,
@@ -327,7 +327,7 @@
         is_spread = await self.hub.flush_and_wait(_SPREAD_TIMEOUT_S)
         if not is_spread:
             self.counters["spread_incomplete"] += 1
-            log.warning(Event.NOT_SPREAD, what=change_kind, run=run_id)
+            log.warning(Event.PROPAGATION_TIMEOUT, what=change_kind, run=run_id)
 
     def _is_settled(self) -> bool:
         uptime_s = self.timers.now_s() - self._started_s
@@ -359,12 +359,12 @@
         if self.runs.apply_numbered_report(number, sequence, starts):
             self.hub.flush_soon()
 
-    def measures(self) -> Measures:
+    def measures(self) -> Metrics:
         """Return the metrics of this instance.
 
         Returns
         -------
-        Measures
+        Metrics
             Values are read when metrics are requested.
         """
         return make_measures(
--- a/src/agatethread/control/_routing_state.py
+++ b/src/agatethread/control/_routing_state.py
@@ -5,7 +5,7 @@
 
 from agatethread.control._raft import RaftNode
 from agatethread.control._roles import Role
-from agatethread.observability import Counters, Histogram, Measures
+from agatethread.observability import Counters, Histogram, Metrics
 from agatethread.registry import RegistryPublisher, RunTable
 
 
@@ -15,7 +15,7 @@
     hub: RegistryPublisher,
     get_node: Callable[[], RaftNode | None],
     change_s: Histogram,
-) -> Measures:
+) -> Metrics:
     """Return the metrics of a control instance.
 
     Parameters
@@ -33,7 +33,7 @@
 
     Returns
     -------
-    Measures
+    Metrics
         Values are read when metrics are requested.
     """
 
@@ -44,7 +44,7 @@
 
         return read_gauge
 
-    return Measures(
+    return Metrics(
         counters,
         {
             "runs": lambda: float(len(runs)),
--- a/src/agatethread/datapath/_backends.py
+++ b/src/agatethread/datapath/_backends.py
@@ -153,7 +153,7 @@
         if failure_domain == self._exempt_domain:
             return
         if self._evacuated & {failure_domain, self._exempt_domain}:
-            log.info(Event.EVACUATION_EXEMPT, domain=failure_domain)
+            log.info(Event.EVACUATION_BYPASSED, domain=failure_domain)
         self._exempt_domain = failure_domain
         for backend in self._by_id.values():
             backend.evacuated = self._is_evacuated(backend)
@@ -206,13 +206,13 @@
             # All instances must exclude the same run.
             excluded = max(existing, backend, key=lambda candidate: candidate.id)
             excluded.shares_label = True
-            log.error(Event.LABEL_SHARED, kept=existing.id, other=backend.id)
+            log.error(Event.LABEL_COLLISION, kept=existing.id, other=backend.id)
             if excluded is existing:
                 self._by_label[backend.label] = backend
         else:
             self._by_label[backend.label] = backend
         self._by_service.setdefault(backend.service, []).append(backend)
-        self._log_change(backend, Event.RUN_KNOWN)
+        self._log_change(backend, Event.RUN_ADDED)
         return backend
 
     def _replace(self, earlier: Backend, run: BackendRun) -> Backend:
--- a/src/agatethread/datapath/_dispatching.py
+++ b/src/agatethread/datapath/_dispatching.py
@@ -243,7 +243,7 @@
             return True
         self._counters["openings_behind"] += 1
         flow = str(received.packet.key)
-        log.info(Event.OPENING_BEHIND, flow=flow, service=received.service)
+        log.info(Event.OPENING_DEFERRED, flow=flow, service=received.service)
         return True
 
     def _place(self, received: ReceivedOpening) -> bool:
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -15,7 +15,7 @@
 from agatethread.datapath._pacing import PacedSender
 from agatethread.datapath._packets import PacketCodec
 from agatethread.datapath._readiness import Readiness
-from agatethread.observability import Counters, Event, Measures, make_logger
+from agatethread.observability import Counters, Event, Metrics, make_logger
 from agatethread.registry import (
     ReceivedEvacuations,
     RegistryTransport,
@@ -353,16 +353,16 @@
             self.subscription.presence = presence
             self.subscription.poll()
 
-    def measures(self) -> Measures:
+    def measures(self) -> Metrics:
         """Return the metrics of this instance.
 
         Returns
         -------
-        Measures
+        Metrics
             Values are read when metrics are exported.
         """
         loads, shared = self.forwarder.loads, self.forwarder.shared_placing
-        return Measures(
+        return Metrics(
             self.counters,
             {
                 "ready": lambda: float(self.is_ready),
--- a/src/agatethread/datapath/_weights.py
+++ b/src/agatethread/datapath/_weights.py
@@ -91,7 +91,7 @@
     backend.weight_valid_until_s = now_s + WEIGHT_VALIDITY_S
     if _stage(percent) != _stage(percent_before):
         log.info(
-            Event.BACKEND_WEIGHED,
+            Event.BACKEND_SHARE_CHANGED,
             run=backend.id,
             percent=percent,
             percent_before=percent_before,
--- a/src/agatethread/entry/_requests.py
+++ b/src/agatethread/entry/_requests.py
@@ -27,10 +27,10 @@
     Relay,
     Sealer,
     Token,
-    operation_id_parts,
     parse_label,
     parse_token,
     service_hash,
+    split_operation_id,
 )
 
 _DEFAULT_DEADLINE_LIMIT_MS = 60_000
@@ -166,7 +166,7 @@
         self._ports.send_caller(caller, hint.SerializeToString())
 
     def _parse_request_token(self, envelope: Envelope) -> Token:
-        sealed_token, _ = operation_id_parts(envelope.operation_id)
+        sealed_token, _ = split_operation_id(envelope.operation_id)
         token = parse_token(self._sealer, sealed_token)
         if token.service != service_hash(envelope.service):
             raise DatagramError("wrong service")
@@ -353,7 +353,7 @@
         self, label: OperationLabel, envelope: Envelope, source: bytes
     ) -> None:
         operation_id = envelope.operation_id
-        if operation_id_parts(operation_id)[1] != label.nonce:
+        if split_operation_id(operation_id)[1] != label.nonce:
             self._counters["reply_crossed"] += 1
             return
         key = (operation_id, label.attempt)
--- a/src/agatethread/observability/_events.py
+++ b/src/agatethread/observability/_events.py
@@ -23,55 +23,55 @@
     PRESSURE_ENDS = "pressure ends: openings are placed here"
     OPENING_RELAYED = "opening relayed"
     OPENING_HANDED_OVER = "opening handed over"
-    OPENING_BEHIND = "opening behind all others: its caller took more than its share"
+    OPENING_DEFERRED = "opening behind all others: its caller took more than its share"
     OPENING_REFUSED = "opening refused: no room in time"
     DISPATCHER_SILENT = "dispatcher silent: it gets no openings"
 
     # Backend servers, logged by entry instances.
-    RUN_KNOWN = "backend server known"
+    RUN_ADDED = "backend server known"
     RUN_REPORTING = "backend server reporting"
     RUN_DRAINING = "backend server draining"
     RUN_SILENT = "backend server silent"
     BACKEND_AVOIDED = "backend server avoided: it does not answer"
     BACKEND_UNREACHABLE = "backend server unreachable: its flows end"
     BACKEND_ANSWERS = "backend server answers again"
-    BACKEND_WEIGHED = "backend server's share of new work"
-    LABEL_SHARED = "two runs share a label"
+    BACKEND_SHARE_CHANGED = "backend server's share of new work"
+    LABEL_COLLISION = "two runs share a label"
 
     # Backend servers, logged by control instances.
     BACKEND_REPORTS = "backend server reports"
     BACKEND_STOPPED = "backend server stopped reporting"
     BACKEND_ENDED = "backend server ended"
-    REPORT_NOT_TAKEN = "report not taken"
-    END_NOT_TAKEN = "end not taken: it may mean an earlier run"
-    BACKEND_JUDGED = "backend server judged by its answers"
-    NOT_SPREAD = "not known everywhere in time"
+    REPORT_REFUSED = "report not taken"
+    END_REFUSED = "end not taken: it may mean an earlier run"
+    BACKEND_QUALITY_CHANGED = "backend server judged by its answers"
+    PROPAGATION_TIMEOUT = "not known everywhere in time"
 
     # State, readiness and control connections of an entry instance.
     TABLE_IN_FORCE = "routing table in force"
     EVACUATIONS_IN_FORCE = "evacuations in force"
-    EVACUATION_EXEMPT = "cut off: evacuated backend servers get work"
+    EVACUATION_BYPASSED = "cut off: evacuated backend servers get work"
     READY = "ready"
     NOT_READY = "not ready"
-    CONTROL_IN_SIGHT = "control instance in sight"
-    HOME_IS_ENOUGH = "control followed at home only"
-    HOME_NOT_ENOUGH = "control followed elsewhere too"
-    CONTROL_OUT_OF_SIGHT = "control instance out of sight"
+    CONTROL_REACHABLE = "control instance in sight"
+    FOLLOWS_OWN_DOMAIN = "control followed at home only"
+    FOLLOWS_OTHER_DOMAINS = "control followed elsewhere too"
+    CONTROL_UNREACHABLE = "control instance out of sight"
 
     # Configuration changes.
     CHANGE_AGREED = "change agreed"
-    CHANGE_OVERTAKEN = "change overtaken"
+    CHANGE_SUPERSEDED = "change overtaken"
     EVACUATION_AGREED = "evacuation agreed"
     CALL_REFUSED = "call refused"
     CALL_NOT_ANSWERED = "call not answered"
 
     # The replicated log and its members.
-    LEADER = "leader"
-    LEADER_NO_MORE = "no longer leader"
+    LEADERSHIP_STARTED = "leader"
+    LEADERSHIP_ENDED = "no longer leader"
     QUORUM_LOST = "leader lost its quorum"
-    LEADER_NO_VOTER = "leader is no voter any more"
-    LEADER_CANT_WRITE = "leader can't write: another one should lead"
-    CANT_STAND = "can't stand for election: disk"
+    LEADER_NOT_VOTER = "leader is no voter any more"
+    LEADER_WRITE_FAILED = "leader can't write: another one should lead"
+    CANDIDACY_FAILED = "can't stand for election: disk"
     MEMBERS_CHANGE = "members change"
     MEMBERS_NOT_CHANGED = "members not changed"
     JOIN_FAILED = "not taken in"
@@ -85,7 +85,7 @@
     LOG_NOT_SET_ASIDE = "log not set aside: disk"
     LOG_NOT_COMPACTED = "log not compacted: disk"
     LOG_CALL_NOT_ANSWERED = "call not answered: disk"
-    TERM_NOT_TAKEN = "could not take a newer term: disk"
+    TERM_NOT_SAVED = "could not take a newer term: disk"
     COMMIT_NOT_SAVED = "commit index not saved: disk"
     HINTS_NOT_SAVED = "hints for a restart not saved: disk"
     HINTS_NOT_READ = "file of backend servers not read"
@@ -99,7 +99,7 @@
     STOPPING = "stopping"
     STOPPED = "stopped"
     SETTINGS_READ = "settings read again"
-    SETTINGS_WRONG = "changed settings are wrong, the old ones stay"
+    SETTINGS_INVALID = "changed settings are wrong, the old ones stay"
     SETTINGS_UNREADABLE = "changed settings can't be read"
     CALL_FAILED = "a call's handler failed"
     CALL_UNREADABLE = "call can't be read"
@@ -140,7 +140,7 @@
         Event.OPENING_HANDED_OVER: frozenset(
             {"flow", "service", "dispatcher", "waited_s", "crosses"}
         ),
-        Event.OPENING_BEHIND: frozenset({"flow", "service"}),
+        Event.OPENING_DEFERRED: frozenset({"flow", "service"}),
         Event.OPENING_REFUSED: frozenset(
             {
                 "flow",
@@ -156,7 +156,7 @@
         Event.FLOW_RESET: frozenset({"why", "flow", "label", "table_version"}),
         Event.PACKET_DROPPED: frozenset({"why", "flow", "label", "table_version"}),
         Event.DATAGRAM_FAILED: frozenset(),
-        Event.RUN_KNOWN: frozenset({"run", "started_ms", "service", "sequence"}),
+        Event.RUN_ADDED: frozenset({"run", "started_ms", "service", "sequence"}),
         Event.RUN_REPORTING: frozenset({"run", "started_ms", "service", "sequence"}),
         Event.RUN_DRAINING: frozenset({"run", "started_ms", "service", "sequence"}),
         Event.RUN_SILENT: frozenset({"run", "started_ms", "service", "sequence"}),
@@ -174,8 +174,8 @@
             }
         ),
         Event.BACKEND_ANSWERS: frozenset({"run"}),
-        Event.BACKEND_WEIGHED: frozenset({"run", "percent", "percent_before"}),
-        Event.LABEL_SHARED: frozenset({"kept", "other"}),
+        Event.BACKEND_SHARE_CHANGED: frozenset({"run", "percent", "percent_before"}),
+        Event.LABEL_COLLISION: frozenset({"kept", "other"}),
         Event.BACKEND_REPORTS: frozenset(
             {
                 "run",
@@ -193,11 +193,11 @@
         Event.BACKEND_ENDED: frozenset(
             {"run", "started_ms", "service", "sequence", "why"}
         ),
-        Event.END_NOT_TAKEN: frozenset({"run", "started_ms", "ended_started_ms"}),
-        Event.REPORT_NOT_TAKEN: frozenset(
+        Event.END_REFUSED: frozenset({"run", "started_ms", "ended_started_ms"}),
+        Event.REPORT_REFUSED: frozenset(
             {"run", "started_ms", "why", "holder", "holder_heard_ago_s"}
         ),
-        Event.BACKEND_JUDGED: frozenset(
+        Event.BACKEND_QUALITY_CHANGED: frozenset(
             {
                 "run",
                 "service",
@@ -215,22 +215,20 @@
                 "observers",
             }
         ),
-        Event.NOT_SPREAD: frozenset({"what", "run"}),
+        Event.PROPAGATION_TIMEOUT: frozenset({"what", "run"}),
         Event.TABLE_IN_FORCE: frozenset({"version", "version_before", "routes"}),
         Event.EVACUATIONS_IN_FORCE: frozenset({"domains"}),
-        Event.EVACUATION_EXEMPT: frozenset({"domain"}),
+        Event.EVACUATION_BYPASSED: frozenset({"domain"}),
         Event.READY: frozenset({"version", "backends", "controls"}),
         Event.NOT_READY: frozenset({"version", "backends", "controls"}),
-        Event.CONTROL_IN_SIGHT: frozenset({"address", "failure_domain", "settled"}),
-        Event.HOME_IS_ENOUGH: frozenset({"followed"}),
-        Event.HOME_NOT_ENOUGH: frozenset({"at_home", "unheard"}),
-        Event.CONTROL_OUT_OF_SIGHT: frozenset(
-            {"address", "failure_domain", "silent_s"}
-        ),
+        Event.CONTROL_REACHABLE: frozenset({"address", "failure_domain", "settled"}),
+        Event.FOLLOWS_OWN_DOMAIN: frozenset({"followed"}),
+        Event.FOLLOWS_OTHER_DOMAINS: frozenset({"at_home", "unheard"}),
+        Event.CONTROL_UNREACHABLE: frozenset({"address", "failure_domain", "silent_s"}),
         Event.CHANGE_AGREED: frozenset(
             {"version", "version_before", "index", "term", "took_s"}
         ),
-        Event.CHANGE_OVERTAKEN: frozenset({"version", "version_held"}),
+        Event.CHANGE_SUPERSEDED: frozenset({"version", "version_held"}),
         Event.EVACUATION_AGREED: frozenset(
             {
                 "domain",
@@ -245,12 +243,12 @@
         ),
         Event.CALL_REFUSED: frozenset({"path", "faults", "why"}),
         Event.CALL_NOT_ANSWERED: frozenset({"path", "why"}),
-        Event.LEADER: frozenset({"term", "last_index"}),
-        Event.LEADER_NO_MORE: frozenset({"term", "leader"}),
+        Event.LEADERSHIP_STARTED: frozenset({"term", "last_index"}),
+        Event.LEADERSHIP_ENDED: frozenset({"term", "leader"}),
         Event.QUORUM_LOST: frozenset({"term"}),
-        Event.LEADER_NO_VOTER: frozenset({"term"}),
-        Event.LEADER_CANT_WRITE: frozenset({"term"}),
-        Event.CANT_STAND: frozenset({"error"}),
+        Event.LEADER_NOT_VOTER: frozenset({"term"}),
+        Event.LEADER_WRITE_FAILED: frozenset({"term"}),
+        Event.CANDIDACY_FAILED: frozenset({"error"}),
         Event.MEMBERS_CHANGE: frozenset({"voters", "learners", "term"}),
         Event.MEMBERS_NOT_CHANGED: frozenset({"why"}),
         Event.JOIN_FAILED: frozenset({"target", "error"}),
@@ -262,7 +260,7 @@
         Event.LOG_NOT_SET_ASIDE: frozenset({"error"}),
         Event.LOG_NOT_COMPACTED: frozenset({"error"}),
         Event.LOG_CALL_NOT_ANSWERED: frozenset({"error"}),
-        Event.TERM_NOT_TAKEN: frozenset({"error"}),
+        Event.TERM_NOT_SAVED: frozenset({"error"}),
         Event.COMMIT_NOT_SAVED: frozenset({"error"}),
         Event.HINTS_NOT_SAVED: frozenset({"error"}),
         Event.HINTS_NOT_READ: frozenset({"error"}),
@@ -274,7 +272,7 @@
         Event.STOPPING: frozenset({"role"}),
         Event.STOPPED: frozenset({"role"}),
         Event.SETTINGS_READ: frozenset({"seeds"}),
-        Event.SETTINGS_WRONG: frozenset({"faults"}),
+        Event.SETTINGS_INVALID: frozenset({"faults"}),
         Event.SETTINGS_UNREADABLE: frozenset({"why"}),
         Event.CALL_FAILED: frozenset({"path"}),
         Event.CALL_UNREADABLE: frozenset({"error"}),
--- a/src/agatethread/observability/_exposition.py
+++ b/src/agatethread/observability/_exposition.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(frozen=True)
-class Measures:
+class Metrics:
     """The metrics of a process."""
 
     counters: Counters
@@ -19,12 +19,12 @@
     histograms: Mapping[str, Histogram] = field(default_factory=dict)
 
 
-def expose(measures: Measures) -> bytes:
+def format_metrics(measures: Metrics) -> bytes:
     """Return metrics as Prometheus text.
 
     Parameters
     ----------
-    measures : Measures
+    measures : Metrics
         The metrics to format.
 
     Returns
@@ -41,7 +41,7 @@
 
 
 class _Collector:
-    def __init__(self, measures: Measures):
+    def __init__(self, measures: Metrics):
         self._measures = measures
 
     def collect(self) -> Iterator[object]:
--- a/src/agatethread/observability/_output.py
+++ b/src/agatethread/observability/_line_writer.py
@@ -17,7 +17,7 @@
 _MAX_WRITE_BYTES = 64 << 10
 
 
-class LineBudget:
+class LineRateLimiter:
     """Token bucket for each kind of line; counts the lines that exceed the rate.
 
     Parameters
--- a/src/agatethread/observability/_logging.py
+++ b/src/agatethread/observability/_logging.py
@@ -7,7 +7,7 @@
 import logbook
 import orjson
 
-from agatethread.observability._output import LineBudget, LineWriter
+from agatethread.observability._line_writer import LineRateLimiter, LineWriter
 from agatethread.settings import LoggingSettings
 
 _FORMAT_HUMAN = (
@@ -52,20 +52,20 @@
     return line
 
 
-class BoundedHandler(logbook.Handler):
+class RateLimitedHandler(logbook.Handler):
     """Writes records as JSON lines, rate-limited by kind, without blocking.
 
     Parameters
     ----------
     writer : LineWriter
         Writes the lines.
-    budget : LineBudget
+    budget : LineRateLimiter
         Limits their rate.
     level : int
         Lowest level that is written.
     """
 
-    def __init__(self, writer: LineWriter, budget: LineBudget, level: int):
+    def __init__(self, writer: LineWriter, budget: LineRateLimiter, level: int):
         super().__init__(level)
         self._writer = writer
         self._budget = budget
@@ -112,7 +112,9 @@
         The writer of the lines; the caller flushes it periodically.
     """
     writer = LineWriter(sys.stdout.fileno(), batch_bytes=_BATCH_BYTES)
-    handler = BoundedHandler(writer, LineBudget(), logbook.lookup_level(level.upper()))
+    handler = RateLimitedHandler(
+        writer, LineRateLimiter(), logbook.lookup_level(level.upper())
+    )
     _add_origin(instance, failure_domain)
     handler.push_application()
     return writer
--- a/src/agatethread/operations/_claims.py
+++ b/src/agatethread/operations/_claims.py
@@ -30,8 +30,8 @@
     Sealer,
     Token,
     VerdictNote,
-    operation_id_parts,
     parse_token,
+    split_operation_id,
 )
 
 _MOVED_RETRY_S = 0.001
@@ -150,7 +150,7 @@
 
     def _parse(self, operation_id: bytes) -> Token | None:
         try:
-            return parse_token(self._sealer, operation_id_parts(operation_id)[0])
+            return parse_token(self._sealer, split_operation_id(operation_id)[0])
         except SealError:
             return None
 
--- a/src/agatethread/operations/_records.py
+++ b/src/agatethread/operations/_records.py
@@ -16,7 +16,7 @@
     Peer,
     Reason,
     Token,
-    operation_id_parts,
+    split_operation_id,
 )
 
 _Record = TypeVar("_Record")
@@ -252,5 +252,5 @@
         idempotent=envelope.idempotent,
         deadline_at_s=deadline_at_s,
         token=token,
-        nonce=operation_id_parts(envelope.operation_id)[1],
+        nonce=split_operation_id(envelope.operation_id)[1],
     )
--- a/src/agatethread/registry/_control_link.py
+++ b/src/agatethread/registry/_control_link.py
@@ -71,7 +71,7 @@
         if not self.is_reachable:
             self.is_reachable = True
             log.info(
-                Event.CONTROL_IN_SIGHT,
+                Event.CONTROL_REACHABLE,
                 address=self.address.hex(),
                 failure_domain=delta.failure_domain,
                 settled=delta.settled,
--- a/src/agatethread/registry/_own_domain.py
+++ b/src/agatethread/registry/_own_domain.py
@@ -247,7 +247,7 @@
     ) -> None:
         if own_domain:
             followed = [link.address.hex() for link in own_domain]
-            log.info(Event.HOME_IS_ENOUGH, followed=followed)
+            log.info(Event.FOLLOWS_OWN_DOMAIN, followed=followed)
             return
         candidates = [
             link for link in live if link.failure_domain == self._failure_domain
@@ -260,4 +260,4 @@
         unreachable = [
             address.hex() for address in find_unreachable_controls(candidates, live)
         ]
-        log.info(Event.HOME_NOT_ENOUGH, at_home=states, unheard=unreachable)
+        log.info(Event.FOLLOWS_OTHER_DOMAINS, at_home=states, unheard=unreachable)
--- a/src/agatethread/registry/_quality.py
+++ b/src/agatethread/registry/_quality.py
@@ -183,7 +183,7 @@
         self._counters[f"backend_servers_{name}"] += 1
         evidence = self._evidence.get(label, NO_EVIDENCE)
         log.info(
-            Event.BACKEND_JUDGED,
+            Event.BACKEND_QUALITY_CHANGED,
             run=run.id,
             service=run.service,
             quality=judgement.quality.value,
--- a/src/agatethread/registry/_run_logs.py
+++ b/src/agatethread/registry/_run_logs.py
@@ -26,7 +26,7 @@
         Present time.
     """
     log.info(
-        Event.REPORT_NOT_TAKEN,
+        Event.REPORT_REFUSED,
         run=report.id,
         started_ms=report.started_ms,
         why=verdict.value,
@@ -46,7 +46,7 @@
         Start of the run that has ended.
     """
     log.info(
-        Event.END_NOT_TAKEN,
+        Event.END_REFUSED,
         run=run.id,
         started_ms=run.started_ms,
         ended_started_ms=started_ms,
--- a/src/agatethread/registry/_subscription.py
+++ b/src/agatethread/registry/_subscription.py
@@ -205,7 +205,7 @@
             if link.is_reachable and unanswered_for_s > _CONTROL_LEASE_S:
                 link.is_reachable = False
                 log.info(
-                    Event.CONTROL_OUT_OF_SIGHT,
+                    Event.CONTROL_UNREACHABLE,
                     address=link.address.hex(),
                     failure_domain=link.failure_domain,
                     silent_s=round(self._now_s() - link.last_reply_s, 3),
--- a/src/agatethread/settings/__init__.py
+++ b/src/agatethread/settings/__init__.py
@@ -24,7 +24,7 @@
 )
 
 if TYPE_CHECKING:
-    from agatethread.settings._checking import structure_checked
+    from agatethread.settings._checking import parse_data_class
     from agatethread.settings._document import ServiceDocument, parse_document
     from agatethread.settings._loading import (
         load_policies,
@@ -42,7 +42,7 @@
     "parse_document": "_document",
     "parse_policies": "_loading",
     "parse_settings": "_loading",
-    "structure_checked": "_checking",
+    "parse_data_class": "_checking",
 }
 
 __all__ = [
@@ -65,7 +65,7 @@
     "parse_policies",
     "parse_settings",
     "policy_fields",
-    "structure_checked",
+    "parse_data_class",
     "switch_off",
 ]
 
--- a/src/agatethread/settings/_checking.py
+++ b/src/agatethread/settings/_checking.py
@@ -201,7 +201,7 @@
         return json5.loads(text)
 
 
-def structure_checked(
+def parse_data_class(
     source: str,
     text: str,
     data_class: type,
--- a/src/agatethread/settings/_document.py
+++ b/src/agatethread/settings/_document.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from agatethread.exceptions import DocumentError
-from agatethread.settings._checking import structure_checked
+from agatethread.settings._checking import parse_data_class
 
 
 def _bounded(default: float, minimum: float, maximum: float):
@@ -55,4 +55,4 @@
     DocumentError
         With a `FieldError` for each fault.
     """
-    return structure_checked(source, text, ServiceDocument, DocumentError)
+    return parse_data_class(source, text, ServiceDocument, DocumentError)
--- a/src/agatethread/settings/_loading.py
+++ b/src/agatethread/settings/_loading.py
@@ -3,7 +3,7 @@
 from pathlib import Path
 
 from agatethread.exceptions import FieldError, SettingsError
-from agatethread.settings._checking import structure_checked
+from agatethread.settings._checking import parse_data_class
 from agatethread.settings._model import Settings
 from agatethread.settings._policies import Policies
 
@@ -48,7 +48,7 @@
     SettingsError
         With a `FieldError` for each fault.
     """
-    settings = structure_checked(source, text, Settings, SettingsError)
+    settings = parse_data_class(source, text, Settings, SettingsError)
     faults = _cross_field_faults(source, settings)
     if faults:
         raise SettingsError(f"{source} has faults", faults)
@@ -117,7 +117,7 @@
     SettingsError
         With a `FieldError` for each fault.
     """
-    return structure_checked(source, text, Policies, SettingsError)
+    return parse_data_class(source, text, Policies, SettingsError)
 
 
 def _read_file(path: str) -> str:
--- a/src/agatethread/wire/__init__.py
+++ b/src/agatethread/wire/__init__.py
@@ -15,7 +15,6 @@
     OperationLabel,
     StreamLabel,
     Token,
-    operation_id_parts,
     pack_address,
     parse_cookie,
     parse_label,
@@ -25,6 +24,7 @@
     seal_stream_label,
     seal_token,
     service_hash,
+    split_operation_id,
     unpack_address,
 )
 from agatethread.wire._seal import Sealer, load_sealer, sign, verify_signature
@@ -71,7 +71,7 @@
     "decode_peer",
     "encode_peer",
     "load_sealer",
-    "operation_id_parts",
+    "split_operation_id",
     "pack_address",
     "parse_cookie",
     "parse_label",
--- a/src/agatethread/wire/_labels.py
+++ b/src/agatethread/wire/_labels.py
@@ -319,7 +319,7 @@
     return Token(service, _unpack_member(owner), _unpack_member(standby))
 
 
-def operation_id_parts(operation_id: bytes) -> tuple[bytes, bytes]:
+def split_operation_id(operation_id: bytes) -> tuple[bytes, bytes]:
     """Split an operation id into its sealed token and its nonce.
 
     Parameters
--- a/tests/cli/test_calls.py
+++ b/tests/cli/test_calls.py
@@ -21,7 +21,7 @@
     async def wait(self, answers, timeout_s=5.0):
         """Wait for index 3; control instances give the answers in turn."""
         with mock.patch(
-            "agatethread.cli._calls.all_statuses", side_effect=answers
+            "agatethread.cli._calls.query_statuses", side_effect=answers
         ) as query:
             try:
                 return await wait_in_force(None, 3, timeout_s)
--- a/tests/cli/test_story.py
+++ b/tests/cli/test_explanation.py
@@ -4,8 +4,8 @@
 from pathlib import Path
 
 from agatethread.cli import run_ctl
-from agatethread.cli._story import Explanation, explain, read_logs
-from agatethread.cli._story_text import format_explanation, group_lines
+from agatethread.cli._explanation import Explanation, explain, read_logs
+from agatethread.cli._explanation_text import format_explanation, group_lines
 from agatethread.observability import Event
 from tests.cli.test_commands import CommandCase, run
 
--- a/tests/observability/test_exposition.py
+++ b/tests/observability/test_exposition.py
@@ -1,6 +1,6 @@
 import unittest
 
-from agatethread.observability import Counters, Histogram, Measures, expose
+from agatethread.observability import Counters, Histogram, Metrics, format_metrics
 
 
 class TestExpose(unittest.TestCase):
@@ -11,7 +11,7 @@
             latency.record(value)
         counters = Counters(forwarded=7)
         gauges = {"flows": lambda: 3.0}
-        text = expose(Measures(counters, gauges, {"answer_s": latency})).decode()
+        text = format_metrics(Metrics(counters, gauges, {"answer_s": latency})).decode()
         for line in (
             'agatethread_events_total{event="forwarded"} 7.0',
             'agatethread_state{gauge="flows"} 3.0',
--- a/tests/observability/test_output.py
+++ b/tests/observability/test_line_writer.py
@@ -4,16 +4,16 @@
 
 import logbook
 
-from agatethread.observability import LineBudget, LineWriter
-from agatethread.observability._logging import BoundedHandler
+from agatethread.observability import LineRateLimiter, LineWriter
+from agatethread.observability._logging import RateLimitedHandler
 from tests.fakes import Clock
 
 
-class TestLineBudget(unittest.TestCase):
+class TestLineRateLimiter(unittest.TestCase):
     def test_limits_rate_of_each_kind(self):
         """Lines of a kind beyond the rate are left out; other kinds are written."""
         clock = Clock()
-        budget = LineBudget(clock, rate_per_s=10, burst=5)
+        budget = LineRateLimiter(clock, rate_per_s=10, burst=5)
         results = [budget.admit("a") for _ in range(50)]
         self.assertEqual(results.count(None), 45)
         self.assertEqual(budget.admit("b"), 0)
@@ -21,7 +21,7 @@
     def test_returns_count_of_lines_left_out(self):
         """The next admitted line of a kind gets the count of lines left out."""
         clock = Clock()
-        budget = LineBudget(clock, rate_per_s=10, burst=1)
+        budget = LineRateLimiter(clock, rate_per_s=10, burst=1)
         for _ in range(8):
             budget.admit("a")
         clock.value_s += 1.0
@@ -78,7 +78,7 @@
         self.assertEqual([int(line) for line in lines[:50]], list(range(50)))
 
 
-class TestBoundedHandler(unittest.TestCase):
+class TestRateLimitedHandler(unittest.TestCase):
     def test_writes_warning_immediately(self):
         """A warning is flushed at once, because the process may end after it."""
         reader, descriptor = os.pipe()
@@ -86,7 +86,7 @@
         self.addCleanup(os.close, descriptor)
         os.set_blocking(reader, False)
         writer = LineWriter(descriptor, batch_bytes=4_096)
-        handler = BoundedHandler(writer, LineBudget(), logbook.INFO)
+        handler = RateLimitedHandler(writer, LineRateLimiter(), logbook.INFO)
 
         def add_origin(record):
             record.extra.update(instance="one", failure_domain="a")
@@ -105,9 +105,9 @@
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, descriptor)
         clock = Clock()
-        handler = BoundedHandler(
+        handler = RateLimitedHandler(
             LineWriter(descriptor),
-            LineBudget(clock, rate_per_s=1, burst=1),
+            LineRateLimiter(clock, rate_per_s=1, burst=1),
             logbook.INFO,
         )
         log = logbook.Logger("part")
--- a/tests/registry/test_own_domain.py
+++ b/tests/registry/test_own_domain.py
@@ -253,13 +253,13 @@
             self.world.step(40)
             events = {record.message for record in handler.records}
             # An instance that was not probed before may become reachable.
-            self.assertLessEqual(events, {Event.CONTROL_IN_SIGHT})
+            self.assertLessEqual(events, {Event.CONTROL_REACHABLE})
             self.world.cut_pairs = {frozenset((entry, address(0)))}
             self.world.step(20)
             self.world.cut_pairs = set()
             self.world.step(60)
         events = [record.message for record in handler.records]
-        switches = Event.HOME_NOT_ENOUGH, Event.HOME_IS_ENOUGH
+        switches = Event.FOLLOWS_OTHER_DOMAINS, Event.FOLLOWS_OWN_DOMAIN
         self.assertEqual([event for event in events if event in switches], [*switches])
 
     def test_idle_traffic_between_domains_is_bounded(self):
--- a/tests/registry/test_spreading.py
+++ b/tests/registry/test_spreading.py
@@ -144,7 +144,7 @@
             for record in handler.records
             if record.kwargs.get("address") == address(1).hex()
         ]
-        lost_event, reachable_event = Event.CONTROL_OUT_OF_SIGHT, Event.CONTROL_IN_SIGHT
+        lost_event, reachable_event = Event.CONTROL_UNREACHABLE, Event.CONTROL_REACHABLE
         # Logged by the entry instance and by the other control instance.
         self.assertEqual(events.count(lost_event), 2)
         self.assertEqual(events.count(reachable_event), 4)
--- a/tests/wire/test_codec.py
+++ b/tests/wire/test_codec.py
@@ -19,7 +19,6 @@
     decode_envelope,
     decode_peer,
     encode_peer,
-    operation_id_parts,
     parse_cookie,
     parse_label,
     parse_token,
@@ -27,6 +26,7 @@
     seal_operation_label,
     seal_stream_label,
     seal_token,
+    split_operation_id,
 )
 
 SEALER = Sealer([b"a" * 32])
@@ -75,7 +75,7 @@
     def test_token_round_trip_in_operation_id(self, service, owner, nonce):
         """Splitting an operation id returns its token and nonce."""
         token = Token(service, owner, NO_MEMBER)
-        sealed, parsed_nonce = operation_id_parts(seal_token(SEALER, token) + nonce)
+        sealed, parsed_nonce = split_operation_id(seal_token(SEALER, token) + nonce)
         self.assertEqual((parse_token(SEALER, sealed), parsed_nonce), (token, nonce))
 
     @given(st.integers(0, 37), st.integers(1, 255))
