--- a/benchmarks/control_world.py
+++ b/benchmarks/control_world.py
@@ -240,7 +240,7 @@
             found.append("the members' states differ")
         for node in self.nodes.values():
             for known in self.history.acknowledged:
-                if node.documents.outcome_of(known.change_id) != known.outcome:
+                if node.documents.get_outcome(known.change_id) != known.outcome:
                     found.append(f"{node.name} lost {known.change_id}")
         return found
 
--- a/benchmarks/member_world.py
+++ b/benchmarks/member_world.py
@@ -1,6 +1,6 @@
 """Control instances whose log keeps its own members, among faults and lost disks.
 
-The real log, member keeper, names and files; the network is in memory and time is
+The real log, membership manager, names and files; the network is in memory and time is
 virtual. The oracle is what operators were told.
 """
 
@@ -13,9 +13,9 @@
 from unittest import mock
 
 from agatethread.control import LogStorage, PeerCalls, RaftNode, Role
-from agatethread.control._identity import claim_name
-from agatethread.control._member_keeper import MemberKeeper
+from agatethread.control._member_name import load_member_name
 from agatethread.control._members import voter_names
+from agatethread.control._membership import MembershipManager
 from agatethread.exceptions import AgatethreadError
 from agatethread.settings import ControlSettings
 from agatethread.wire.control_pb2 import Command, ControlMember, PutRoutes
@@ -50,7 +50,7 @@
         folder: Path,
         seed: int,
         losses_borne: int = 1,
-        claim: Claim = claim_name,
+        claim: Claim = load_member_name,
     ):
         self.network = Network(seed)
         self.random = random.Random(seed)
@@ -60,7 +60,7 @@
         self._claim = claim
         self._folder = folder
         self._settings = ControlSettings("unused", snapshot_entry_count=12)
-        self._keepers: dict[str, MemberKeeper] = {}
+        self._keepers: dict[str, MembershipManager] = {}
         self._managing: dict[str, asyncio.Task] = {}
         self._tasks: set[asyncio.Task] = set()
         self._numbers = itertools.count()
@@ -111,8 +111,8 @@
         await node.start()
         self._managing[address] = asyncio.ensure_future(self._manage(address))
 
-    def _make_keeper(self, address: str, node: RaftNode) -> MemberKeeper:
-        return MemberKeeper(
+    def _make_keeper(self, address: str, node: RaftNode) -> MembershipManager:
+        return MembershipManager(
             node,
             ControlMember(target=address, api=address, failure_domain=address),
             2 * self.losses_borne + 1,
@@ -126,8 +126,8 @@
         while True:
             await asyncio.sleep(_MANAGE_INTERVAL_S)
             if address not in self.network.frozen:
-                self._keepers[address].ask_to_join()
-                self._keepers[address].manage()
+                self._keepers[address].request_join()
+                self._keepers[address].start_next_change()
 
     def _spawn(self, work) -> None:
         task = asyncio.ensure_future(work)
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -17,8 +17,8 @@
 
 import numpy
 
-from agatethread.control import DocumentState
-from agatethread.control._state import check_command
+from agatethread.control import ReplicatedState
+from agatethread.control._replicated_state import check_command
 from agatethread.entry._placement import FlowPlacer
 from agatethread.membership import Member, MemberTable
 from agatethread.observability import Counters
@@ -126,9 +126,9 @@
     }
 
 
-def build_control_state(count: int) -> DocumentState:
+def build_control_state(count: int) -> ReplicatedState:
     """Apply documents, as a control instance keeps them."""
-    state = DocumentState()
+    state = ReplicatedState()
     for number in range(count):
         text = (DOCUMENT % (number, 1)).encode()
         put = PutDocument(service=f"service-{number}", version=1, text=text)
--- a/src/agatethread/control/__init__.py
+++ b/src/agatethread/control/__init__.py
@@ -3,10 +3,10 @@
 from typing import TYPE_CHECKING, Any
 
 from agatethread.control._raft import RaftNode
+from agatethread.control._replicated_state import ReplicatedState
 from agatethread.control._roles import PeerCalls, Role
-from agatethread.control._routing_control import RoutingControl
+from agatethread.control._routing_control import RoutingControlInstance
 from agatethread.control._routing_settings import RoutingControlSettings
-from agatethread.control._state import DocumentState
 from agatethread.control._storage import LogStorage
 
 if TYPE_CHECKING:
@@ -14,18 +14,18 @@
 
 __all__ = [
     "ControlInstance",
-    "DocumentState",
+    "ReplicatedState",
     "LogStorage",
     "PeerCalls",
     "RaftNode",
     "Role",
-    "RoutingControl",
+    "RoutingControlInstance",
     "RoutingControlSettings",
 ]
 
 
 def __getattr__(name: str) -> Any:
-    # Lazy: the import loads gRPC, which delays the start of a RoutingControl process.
+    # Lazy: the import loads gRPC, which delays the start of a control process.
     if name == "ControlInstance":
         from agatethread.control._instance import ControlInstance
 
--- a/src/agatethread/control/_instance.py
+++ b/src/agatethread/control/_instance.py
@@ -8,10 +8,10 @@
 
 from agatethread.control._peers import connect_peer
 from agatethread.control._raft import RaftNode
+from agatethread.control._replicated_state import check_command
 from agatethread.control._replication import ReplicationServicer
-from agatethread.control._state import check_command
 from agatethread.control._storage import LogStorage
-from agatethread.control._watchers import WatchServer
+from agatethread.control._watch_server import WatchServer
 from agatethread.exceptions import DiskFullError, NotLeaderError
 from agatethread.observability import Counters
 from agatethread.settings import Settings
--- a/src/agatethread/control/_log_opening.py
+++ b/src/agatethread/control/_log_opening.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Awaitable, Callable
 
-from agatethread.control._identity import claim_name
+from agatethread.control._member_name import load_member_name
 from agatethread.control._raft import RaftNode
 from agatethread.control._routing_settings import RoutingControlSettings
 from agatethread.control._storage import LogStorage
@@ -42,7 +42,7 @@
     while not should_stop():
         storage = LogStorage(settings.data_dir)
         try:
-            name = claim_name(
+            name = load_member_name(
                 storage, settings.target, settings.is_first_start, settings.seeds
             )
             node = make_node(name, storage)
--- a/src/agatethread/control/_identity.py
+++ b/src/agatethread/control/_member_name.py
@@ -19,7 +19,7 @@
 log = make_logger("identity")
 
 
-def claim_name(
+def load_member_name(
     storage: LogStorage,
     target: str,
     is_first_start: bool,
--- a/src/agatethread/control/_member_keeper.py
+++ b/src/agatethread/control/_membership.py
@@ -25,7 +25,7 @@
 Spawn = Callable[[Coroutine[Any, Any, None]], object]
 
 
-class MemberKeeper:
+class MembershipManager:
     """Joins this instance to the log, and changes the members while it leads.
 
     Parameters
@@ -87,7 +87,7 @@
         self._joiners[member.name] = (self._now_s(), member)
         return True
 
-    def ask_to_join(self) -> None:
+    def request_join(self) -> None:
         """Send join requests to all reachable instances if no leader is known."""
         is_member = find_member(self._node.members, self._node.name) is not None
         if is_member and self._node.leader_silence_s < _LEADER_TIMEOUT_S:
@@ -103,7 +103,7 @@
         except UnavailableError as error:
             log.debug(Event.JOIN_FAILED, target=target, error=str(error))
 
-    def manage(self) -> None:
+    def start_next_change(self) -> None:
         """Start the next membership change, if this member leads and one is due."""
         node = self._node
         if self._is_changing or not node.can_change_members:
--- a/src/agatethread/control/_orders.py
+++ b/src/agatethread/control/_orders.py
@@ -10,7 +10,7 @@
 
 from agatethread.control._members import find_member
 from agatethread.control._raft import RaftNode
-from agatethread.control._state import find_name_error
+from agatethread.control._replicated_state import find_name_error
 from agatethread.exceptions import ChangeRefusedError, FieldError, UnavailableError
 from agatethread.observability import Counters, Event, Histogram, make_logger
 from agatethread.registry import EvacuationPublisher
@@ -67,7 +67,7 @@
             raise UnavailableError("the log is not open")
         return node
 
-    def leader_api(self) -> str:
+    def get_leader_api(self) -> str:
         """Return the address of the leader's API.
 
         Returns
--- a/src/agatethread/control/_raft.py
+++ b/src/agatethread/control/_raft.py
@@ -9,7 +9,6 @@
 
 from mode import Service
 
-from agatethread.control._ballot import LogEnd, VoteState
 from agatethread.control._disk_health import DiskHealth
 from agatethread.control._followers import Follower, LeadershipConfirmations
 from agatethread.control._log import ReplicatedLog
@@ -21,9 +20,10 @@
     voter_names,
 )
 from agatethread.control._proposals import PendingProposals
+from agatethread.control._replicated_state import ReplicatedState
 from agatethread.control._roles import PeerCalls, Role
-from agatethread.control._state import DocumentState
 from agatethread.control._storage import LogStorage
+from agatethread.control._vote_state import LogEnd, VoteState
 from agatethread.exceptions import DiskFullError, NotLeaderError, UnavailableError
 from agatethread.observability import Event, make_logger
 from agatethread.settings import ControlSettings
@@ -89,7 +89,7 @@
         self._connect = connect
         self._now_s = now_s
         self._random = random.Random(seed)
-        self.documents = DocumentState()
+        self.documents = ReplicatedState()
         self.role = Role.FOLLOWER
         self.leader = ""
         self._recover()
--- a/src/agatethread/control/_state.py
+++ b/src/agatethread/control/_replicated_state.py
@@ -29,7 +29,7 @@
 MAX_EVACUATED_DOMAINS = 64
 
 
-class DocumentState:
+class ReplicatedState:
     """Applies committed commands in order; equal logs give equal states."""
 
     def __init__(self) -> None:
@@ -80,7 +80,7 @@
                 self._outcomes.popitem(last=False)
         return outcome
 
-    def outcome_of(self, change_id: str) -> Outcome | None:
+    def get_outcome(self, change_id: str) -> Outcome | None:
         """Return the outcome of an applied change.
 
         Parameters
--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -16,12 +16,12 @@
 
 from agatethread.control._hints import HintSaver
 from agatethread.control._log_opening import log_opened, open_log
-from agatethread.control._member_keeper import MemberKeeper
+from agatethread.control._membership import MembershipManager
 from agatethread.control._orders import OperatorOrders
 from agatethread.control._raft import RaftNode
 from agatethread.control._roles import Role
+from agatethread.control._routing_metrics import dump_log, make_measures
 from agatethread.control._routing_settings import RoutingControlSettings
-from agatethread.control._routing_state import dump_log, make_measures
 from agatethread.control._storage import LogStorage
 from agatethread.observability import Counters, Event, Metrics, make_logger
 from agatethread.registry import (
@@ -68,7 +68,7 @@
 log = make_logger("control")
 
 
-class RoutingControl(Service):
+class RoutingControlInstance(Service):
     """Maintains the routing table and the registry of backend servers.
 
     Parameters
@@ -86,7 +86,7 @@
         self.timers = self.add_dependency(TimerService())
         self.node: RaftNode | None = None
         self._log_port: LogPort | None = None
-        self._membership: MemberKeeper | None = None
+        self._membership: MembershipManager | None = None
         self._hints: HintSaver | None = None
         self._published_version = 0
         self._started_s = self.timers.now_s()
@@ -233,14 +233,14 @@
             connect=lambda member: self._log_port.connect(member.target),
         )
 
-    def _make_membership(self, node: RaftNode, port: "LogPort") -> MemberKeeper:
+    def _make_membership(self, node: RaftNode, port: "LogPort") -> MembershipManager:
         settings = self.settings
         address = ControlMember(
             target=settings.target,
             api=settings.api,
             failure_domain=settings.failure_domain,
         )
-        return MemberKeeper(
+        return MembershipManager(
             node,
             address,
             settings.voter_count,
@@ -255,8 +255,8 @@
 
     def _manage_members(self) -> None:
         if self._membership is not None and self.node is not None:
-            self._membership.ask_to_join()
-            self._membership.manage()
+            self._membership.request_join()
+            self._membership.start_next_change()
 
     async def leave(self) -> None:
         """Log the stop; the other control instances need no notice."""
--- a/src/agatethread/control/_watchers.py
+++ b/src/agatethread/control/_watch_server.py
@@ -5,7 +5,7 @@
 
 import grpc
 
-from agatethread.control._state import DocumentState
+from agatethread.control._replicated_state import ReplicatedState
 from agatethread.wire.control_pb2 import (
     DocumentRecord,
     WatcherStatus,
@@ -22,11 +22,11 @@
 
     Parameters
     ----------
-    state : DocumentState
+    state : ReplicatedState
         The state to send.
     """
 
-    def __init__(self, state: DocumentState):
+    def __init__(self, state: ReplicatedState):
         self._state = state
         self._watchers: dict[str, WatcherStatus] = {}
         self._wake_events: set[asyncio.Event] = set()
--- a/tests/control/test_member_world.py
+++ b/tests/control/test_member_world.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-from agatethread.control._identity import claim_name
+from agatethread.control._member_name import load_member_name
 from agatethread.wire.control_pb2 import ControlState, HardState, Members
 from benchmarks.fuzz_members import fuzz
 
@@ -15,7 +15,7 @@
     if not storage.read_hard_state().member_name:
         storage.save_snapshot(ControlState(members=Members(members=founders)), [])
         storage.save_hard_state(HardState(member_name=target, may_vote=True))
-    return claim_name(storage, target, is_first_start, founders)
+    return load_member_name(storage, target, is_first_start, founders)
 
 
 def run_in_process(hash_seed):
--- a/tests/control/test_policies.py
+++ b/tests/control/test_policies.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from agatethread.control import RoutingControl, RoutingControlSettings
+from agatethread.control import RoutingControlInstance, RoutingControlSettings
 from agatethread.observability import Counters
 from agatethread.registry import KnownEntry, save_hints
 from agatethread.settings import DEFAULT_POLICIES, switch_off
@@ -36,7 +36,9 @@
     async def start(self, name):
         """Return the started instance, the greeted entries and the timer callbacks."""
         policies = switch_off(DEFAULT_POLICIES, name)
-        control = RoutingControl(replace(self.settings, policies=policies), Counters())
+        control = RoutingControlInstance(
+            replace(self.settings, policies=policies), Counters()
+        )
         self.addAsyncCleanup(control.stop)
         with (
             mock.patch.object(control.hub, "greet") as greet,
@@ -66,7 +68,7 @@
 
     async def test_stop_during_log_port_load_leaves_no_listener(self):
         """After a stop while the log port is loaded, nothing listens."""
-        control = RoutingControl(replace(self.settings, seeds=()), Counters())
+        control = RoutingControlInstance(replace(self.settings, seeds=()), Counters())
         to_thread = asyncio.to_thread
 
         async def load_until_stopped(*arguments):
--- a/tests/control/test_raft.py
+++ b/tests/control/test_raft.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from agatethread.control import LogStorage, PeerCalls, RaftNode, Role
-from agatethread.control._ballot import VoteState
+from agatethread.control._vote_state import VoteState
 from agatethread.exceptions import DiskFullError, UnavailableError
 from agatethread.settings import ControlSettings
 from agatethread.wire.control_pb2 import VoteRequest
--- a/tests/control/test_state.py
+++ b/tests/control/test_replicated_state.py
@@ -1,7 +1,7 @@
 import unittest
 
-from agatethread.control import DocumentState
-from agatethread.control._state import (
+from agatethread.control import ReplicatedState
+from agatethread.control._replicated_state import (
     MAX_EVACUATED_DOMAINS,
     check_command,
     find_name_error,
@@ -26,9 +26,9 @@
     return Command(set_evacuation=change)
 
 
-class TestDocumentState(unittest.TestCase):
+class TestReplicatedState(unittest.TestCase):
     def setUp(self):
-        self.state = DocumentState()
+        self.state = ReplicatedState()
 
     def apply(self, command):
         index = self.state.last_index + 1
@@ -47,7 +47,7 @@
         first = self.apply(put(1, "first"))
         self.apply(put(2, "next"))
         self.assertEqual(self.apply(put(1, "first")), first)
-        restored = DocumentState()
+        restored = ReplicatedState()
         restored.restore(self.state.snapshot())
         retried = restored.apply(9, 1, put(1, "first").SerializeToString())
         self.assertEqual(retried, first)
@@ -58,7 +58,7 @@
             self.apply(put(version, f"c{version}"))
             drain = SetDrain(name=f"tab-{version % 7}", draining=version % 2 == 0)
             self.apply(Command(set_drain=drain, change_id=f"d{version}"))
-        restored = DocumentState()
+        restored = ReplicatedState()
         restored.restore(self.state.snapshot())
         self.assertEqual(
             restored.snapshot().SerializeToString(deterministic=True),
@@ -75,7 +75,7 @@
 
 class TestEvacuations(unittest.TestCase):
     def setUp(self):
-        self.state = DocumentState()
+        self.state = ReplicatedState()
 
     def order(self, domain, evacuated=True):
         index = self.state.last_index + 1
@@ -100,7 +100,7 @@
     def test_snapshot_includes_evacuations(self):
         """After a restore the domain is evacuated under the same version."""
         self.order("a")
-        restored = DocumentState()
+        restored = ReplicatedState()
         restored.restore(self.state.snapshot())
         self.state = restored
         self.assertEqual(self.evacuations(), (1, ["a"]))
@@ -122,7 +122,7 @@
         snapshot = bytes.fromhex(
             "08021001220a0a0264311204080110022a057461622d3130023a0508071201734200"
         )
-        state = DocumentState()
+        state = ReplicatedState()
         state.restore(ControlState.FromString(snapshot))
         self.assertEqual((state.last_index, state.drained), (2, {"tab-1"}))
         self.assertEqual(state.routes.version, 7)
--- a/tests/control/test_routing_control.py
+++ b/tests/control/test_routing_control.py
@@ -4,7 +4,7 @@
 import unittest
 from pathlib import Path
 
-from agatethread.control import RoutingControl, RoutingControlSettings
+from agatethread.control import RoutingControlInstance, RoutingControlSettings
 from agatethread.control._members import voter_names
 from agatethread.control._storage import HEADER_BYTES
 from agatethread.exceptions import (
@@ -46,7 +46,7 @@
 
     async def start(self, number, is_first_start=False):
         host = self.host(number)
-        control = RoutingControl(
+        control = RoutingControlInstance(
             RoutingControlSettings(
                 name=f"control-{number}",
                 failure_domain=f"domain-{number}",
@@ -146,7 +146,7 @@
         return views.pop() if len(views) == 1 else None
 
 
-class TestRoutingControl(unittest.IsolatedAsyncioTestCase):
+class TestRoutingControlInstance(unittest.IsolatedAsyncioTestCase):
     async def start_fleet(self, count=3):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -257,7 +257,7 @@
         leader = next(
             number
             for number, control in fleet.running.items()
-            if not control.orders.leader_api()
+            if not control.orders.get_leader_api()
         )
         await fleet.kill(leader)
         fleet.lose_disk(leader)
--- a/tests/control/test_watchers.py
+++ b/tests/control/test_watch_server.py
@@ -4,8 +4,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from agatethread.control import DocumentState
-from agatethread.control._watchers import WatchServer
+from agatethread.control import ReplicatedState
+from agatethread.control._watch_server import WatchServer
 from agatethread.entry._documents import DocumentBook
 from agatethread.wire.control_pb2 import Command, PutDocument, WatchRequest
 from benchmarks.virtual_time import VirtualLoop
@@ -19,7 +19,7 @@
     """A control instance and a watcher that reads when the test asks for it."""
 
     def __init__(self):
-        self.state = DocumentState()
+        self.state = ReplicatedState()
         self.watch_server = WatchServer(self.state)
         self.book = DocumentBook()
         self.stream = self.watch_server.serve(self.requests(), None)
@@ -67,7 +67,7 @@
         return runner.run(main())
 
 
-class TestWatchHub(unittest.TestCase):
+class TestWatchServer(unittest.TestCase):
     def test_sends_change_made_during_update(self):
         """A document committed between two reads of updates is in the second one."""
         received_versions, committed = run_steps(["tab", "read", "receipts"])
--- a/tests/datapath/test_answer_reports.py
+++ b/tests/datapath/test_answer_reports.py
@@ -2,7 +2,7 @@
 import tempfile
 import unittest
 
-from agatethread.control import RoutingControl, RoutingControlSettings
+from agatethread.control import RoutingControlInstance, RoutingControlSettings
 from agatethread.datapath import LabelEntryInstance, LabelEntrySettings
 from agatethread.datapath._answer_reports import AnswerReporter
 from agatethread.observability import Counters
@@ -124,7 +124,7 @@
             data_dir=self.folder.name,
             **fields,
         )
-        return RoutingControl(settings, Counters())
+        return RoutingControlInstance(settings, Counters())
 
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
