--- a/benchmarks/operations_world.py
+++ b/benchmarks/operations_world.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from agatethread.client import Client
-from agatethread.entry import DocumentBook, RequestDesk
+from agatethread.entry import DocumentStore, RequestRouter
 from agatethread.exceptions import (
     AgatethreadError,
     OperationRefusedError,
@@ -46,7 +46,7 @@
 
 
 class Node:
-    """One entry instance's request desk, with its own view of the fleet.
+    """One entry instance's request router, with its own view of the fleet.
 
     Parameters
     ----------
@@ -64,7 +64,7 @@
         self.members = MemberTable(member)
         self.endpoints = EndpointTable()
         self.counters = Counters()
-        book = DocumentBook()
+        book = DocumentStore()
         book.documents[SERVICE] = ServiceDocument(SERVICE, 1, ramp_s=0.0)
         ports = InstanceCallbacks(
             now_s=asyncio.get_running_loop().time,
@@ -75,7 +75,7 @@
             send_caller=self._send_caller,
             fresh_token=self.fresh_token,
         )
-        self.desk = RequestDesk(
+        self.desk = RequestRouter(
             _ENTRY,
             ports,
             world.sealer,
--- a/src/agatethread/client/_client.py
+++ b/src/agatethread/client/_client.py
@@ -6,8 +6,12 @@
 from collections import defaultdict
 from collections.abc import Coroutine
 
+from agatethread.client._pending_request import (
+    PendingRequest,
+    get_retry_delay_s,
+    make_error,
+)
 from agatethread.client._stream import Stream
-from agatethread.client._waiting import PendingRequest, get_retry_delay_s, make_error
 from agatethread.exceptions import (
     DatagramError,
     OperationUnknownError,
@@ -16,7 +20,12 @@
     UnavailableError,
 )
 from agatethread.settings import parse_address
-from agatethread.transfer import MAX_MESSAGE_BYTES, Assembler, Outbox, split
+from agatethread.transfer import (
+    MAX_MESSAGE_BYTES,
+    Assembler,
+    FragmentSender,
+    split_message,
+)
 from agatethread.wire import (
     MAX_PAYLOAD_BYTES,
     Envelope,
@@ -61,7 +70,7 @@
         self._welcome_events: dict[str, asyncio.Event] = defaultdict(asyncio.Event)
         self._tasks: set[asyncio.Task] = set()
         self._missing_task: asyncio.Task | None = None
-        self._outbox = Outbox()
+        self._outbox = FragmentSender()
         loop = asyncio.get_running_loop()
         self._assembler = Assembler(
             loop.time, _ANSWERS_LIMIT_BYTES, _ANSWERS_LIMIT_BYTES
@@ -159,8 +168,8 @@
     async def _request_missing(self) -> None:
         while True:
             await asyncio.sleep(_MISSING_POLL_INTERVAL_S)
-            for partial, indices in self._assembler.take_quiet():
-                operation_id = partial.first.operation_id
+            for partial, indices in self._assembler.collect_missing():
+                operation_id = partial.first_fragment.operation_id
                 pending = self._pending_requests.get(operation_id)
                 if pending is None:
                     self._assembler.drop(operation_id)
@@ -304,7 +313,7 @@
             raise
         finally:
             del self._pending_requests[request.operation_id]
-            self._outbox.done(request.operation_id)
+            self._outbox.delete(request.operation_id)
 
     async def _resend_until_verdict(
         self, request: Envelope, pending: PendingRequest, deadline_s: float
@@ -329,9 +338,9 @@
     def _send_request(self, request: Envelope, is_first: bool) -> None:
         target = self._addresses[request.service]
         if is_first:
-            self._outbox.start(
+            self._outbox.send_message(
                 request.operation_id,
-                split(request),
+                split_message(request),
                 lambda data: self._transport.sendto(data, target),
             )
         elif len(request.payload) > MAX_PAYLOAD_BYTES:
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -35,11 +35,11 @@
     parse_address,
 )
 from agatethread.sockets import (
-    drain_into,
+    close_socket,
+    make_reader,
+    make_sender,
     open_socket,
-    send_or_count,
     start_reading,
-    stop_reading,
 )
 from agatethread.timing import TimerService
 from agatethread.wire import pack_address
@@ -149,7 +149,7 @@
         self._cold = ColdLimits(settings.cold_overshoot, settings.cold_slack_per_s)
         self._socket = open_socket(settings.datagrams)
         self.sender = PacedSender(
-            send_or_count(self._socket, counters),
+            make_sender(self._socket, counters),
             settings.link_bits_per_s if policies.paces_packets else _UNPACED_BITS_PER_S,
             now_s,
             lambda delay_s, call: asyncio.get_running_loop().call_later(delay_s, call),
@@ -220,7 +220,7 @@
         self._transport.start(self._on_message)
         start_reading(
             self._socket,
-            drain_into(self._socket, self.forwarder.on_datagram, self.counters),
+            make_reader(self._socket, self.forwarder.on_datagram, self.counters),
         )
         self.timers.subscribe(_POLL_INTERVAL_S, self.subscription.poll)
         if self._settings.policies.asks_urgently:
@@ -242,7 +242,7 @@
 
     async def on_stop(self) -> None:
         """Close the sockets."""
-        stop_reading(self._socket)
+        close_socket(self._socket)
         self._transport.close()
 
     async def leave(self) -> None:
--- a/src/agatethread/entry/_datagrams.py
+++ b/src/agatethread/entry/_datagrams.py
@@ -6,7 +6,7 @@
 from agatethread.entry._flows import FlowRouter
 from agatethread.entry._forwarding import FlowForwarder
 from agatethread.entry._placement import FlowPlacer
-from agatethread.entry._requests import RequestDesk
+from agatethread.entry._requests import RequestRouter
 from agatethread.exceptions import DatagramError
 from agatethread.membership import MemberTable, Prober
 from agatethread.wire import (
@@ -60,7 +60,7 @@
         forwarder: FlowForwarder,
         placer: FlowPlacer,
         flow_router: FlowRouter,
-        requests: RequestDesk,
+        requests: RequestRouter,
         send_to_caller: Callable[[bytes, Address], None],
         fresh_token: Callable[[str], bytes],
     ):
--- a/src/agatethread/entry/_documents.py
+++ b/src/agatethread/entry/_documents.py
@@ -24,7 +24,7 @@
 log = make_logger("documents")
 
 
-class DocumentBook:
+class DocumentStore:
     """Stores the newest document of each service, and drains and evacuations."""
 
     def __init__(self) -> None:
@@ -34,7 +34,7 @@
         self.evacuated: frozenset[str] = frozenset()
         self._document_indexes: dict[str, int] = {}
 
-    def take(self, update: WatchUpdate) -> bool:
+    def apply_update(self, update: WatchUpdate) -> bool:
         """Apply an update of a control instance, except for outdated parts.
 
         Each document is compared by its own index, so that a document missing from one
@@ -98,7 +98,7 @@
     ----------
     settings : Settings
         Settings with the own name and the control instances.
-    document_store : DocumentBook
+    document_store : DocumentStore
         Stores the updates.
     on_update : callable
         Called after each change of the stored state.
@@ -109,7 +109,7 @@
     def __init__(
         self,
         settings: Settings,
-        document_store: DocumentBook,
+        document_store: DocumentStore,
         on_update: Callable[[], None],
         counters: Counters,
     ):
@@ -159,7 +159,7 @@
             update = await asyncio.wait_for(stream.read(), _UPDATE_TIMEOUT_S)
             if not isinstance(update, WatchUpdate):
                 return
-            if self._document_store.take(update):
+            if self._document_store.apply_update(update):
                 self._counters["control_updates"] += 1
                 self._on_update()
             if self._document_store.index != acknowledged_index:
--- a/src/agatethread/entry/_fragments.py
+++ b/src/agatethread/entry/_fragments.py
@@ -15,8 +15,8 @@
     ports : InstanceCallbacks
         Callbacks that send to callers and backend servers.
     """
-    for partial, indices in assembler.take_quiet():
-        first = partial.first
+    for partial, indices in assembler.collect_missing():
+        first = partial.first_fragment
         request = Envelope(
             kind=Kind.MISSING,
             service=first.service,
--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -9,12 +9,12 @@
 
 from agatethread.entry._announcements import AnnouncementHandler
 from agatethread.entry._datagrams import DatagramRouter
-from agatethread.entry._documents import DocumentBook, DocumentWatcher
+from agatethread.entry._documents import DocumentStore, DocumentWatcher
 from agatethread.entry._dump import dump_entry
 from agatethread.entry._flows import FlowRouter
 from agatethread.entry._forwarding import FlowForwarder
 from agatethread.entry._placement import FlowPlacer
-from agatethread.entry._requests import RequestDesk
+from agatethread.entry._requests import RequestRouter
 from agatethread.membership import Member, MemberTable, Prober
 from agatethread.observability import Counters, make_logger
 from agatethread.operations import InstanceCallbacks
@@ -22,14 +22,14 @@
 from agatethread.settings import EntrySettings, Settings, parse_address
 from agatethread.sockets import (
     DatagramHandler,
-    drain_into,
+    close_socket,
+    make_reader,
+    make_sender,
     open_socket,
-    send_or_count,
     start_reading,
-    stop_reading,
 )
 from agatethread.timing import TimerService
-from agatethread.transfer import Outbox, split_datagram
+from agatethread.transfer import FragmentSender, split_datagram
 from agatethread.wire import (
     MAX_DATAGRAM_BYTES,
     NO_MEMBER,
@@ -75,8 +75,8 @@
         self.sealer = load_sealer(entry.seal_key_file)
         self._caller_socket = open_socket(entry.listen)
         self._inner_socket = open_socket(entry.inner)
-        self._send_to_caller = send_or_count(self._caller_socket, counters)
-        self._send_to_inner = send_or_count(self._inner_socket, counters)
+        self._send_to_caller = make_sender(self._caller_socket, counters)
+        self._send_to_inner = make_sender(self._inner_socket, counters)
         self._build_state(entry)
         self._build_membership_parts(entry)
         self._build_flow_parts()
@@ -105,10 +105,10 @@
         self.members = MemberTable(own_member)
         self.endpoints = EndpointTable()
         self.flows = FlowTable(entry.flow_limit_count)
-        self.document_store = DocumentBook()
+        self.document_store = DocumentStore()
         self._dispatched_services: set[str] = set()
         self._is_leaving = False
-        self._outbox = Outbox()
+        self._outbox = FragmentSender()
         self._initialized_members: set[MemberRef] = set()
 
     def _build_membership_parts(self, entry: EntrySettings) -> None:
@@ -176,7 +176,7 @@
             send_caller=self._send_caller,
             fresh_token=self.fresh_token,
         )
-        self.requests = RequestDesk(
+        self.requests = RequestRouter(
             entry,
             ports,
             self.sealer,
@@ -199,7 +199,7 @@
         log.info("entry instance started", listen=self.settings.entry.listen)
 
     def _read_from(self, sock: socket, handler: DatagramHandler) -> None:
-        start_reading(sock, drain_into(sock, handler, self.counters))
+        start_reading(sock, make_reader(sock, handler, self.counters))
 
     async def _warm_up(self) -> None:
         # All backend servers announce themselves during the warm-up, before this
@@ -232,8 +232,8 @@
 
     async def on_stop(self) -> None:
         """Close the sockets."""
-        stop_reading(self._caller_socket)
-        stop_reading(self._inner_socket)
+        close_socket(self._caller_socket)
+        close_socket(self._inner_socket)
 
     def send_peer(self, address: bytes, peer: Peer) -> None:
         """Send a sealed message to another entry instance.
--- a/src/agatethread/entry/_requests.py
+++ b/src/agatethread/entry/_requests.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from agatethread.entry._documents import DocumentBook
+from agatethread.entry._documents import DocumentStore
 from agatethread.entry._fragments import request_missing_fragments
 from agatethread.exceptions import DatagramError, TransferLimitError
 from agatethread.membership import MemberTable
@@ -36,7 +36,7 @@
 _DEFAULT_DEADLINE_LIMIT_MS = 60_000
 
 
-class RequestDesk:
+class RequestRouter:
     """Routes requests and replies to the owner or standby of their operation.
 
     Parameters
@@ -51,7 +51,7 @@
         Entry instances.
     endpoints : EndpointTable
         Backend servers.
-    document_store : DocumentBook
+    document_store : DocumentStore
         Service documents.
     start_task : callable
         Runs a coroutine as a task of the instance.
@@ -66,7 +66,7 @@
         sealer: Sealer,
         members: MemberTable,
         endpoints: EndpointTable,
-        document_store: DocumentBook,
+        document_store: DocumentStore,
         start_task: Callable,
         counters: Counters,
     ):
--- a/src/agatethread/operations/_attempts.py
+++ b/src/agatethread/operations/_attempts.py
@@ -8,7 +8,7 @@
 from agatethread.observability import Counters
 from agatethread.operations._records import InstanceCallbacks, Operation
 from agatethread.routing import Endpoint
-from agatethread.transfer import Outbox
+from agatethread.transfer import FragmentSender
 from agatethread.wire import (
     Envelope,
     Kind,
@@ -73,7 +73,7 @@
         self._ports = ports
         self._sealer = sealer
         self._counters = counters
-        self._outbox = Outbox()
+        self._outbox = FragmentSender()
 
     async def run(self, operation: Operation, endpoint: Endpoint) -> AttemptOutcome:
         """Dispatch an operation and return the outcome of the attempt.
@@ -128,7 +128,7 @@
             attempt=operation.attempt,
             deadline_ms=max(1, round(remaining_s * 1000)),
         ).SerializeToString()
-        self._outbox.start(
+        self._outbox.send_message(
             (operation.operation_id, operation.attempt),
             [datagram + suffix for datagram in operation.datagrams],
             lambda data: self._ports.send_backend(endpoint.address, data),
@@ -176,4 +176,4 @@
         operation : Operation
             The operation.
         """
-        self._outbox.done((operation.operation_id, operation.attempt))
+        self._outbox.delete((operation.operation_id, operation.attempt))
--- a/src/agatethread/operations/_records.py
+++ b/src/agatethread/operations/_records.py
@@ -8,7 +8,7 @@
 
 from agatethread.exceptions import AgatethreadError
 from agatethread.routing import Endpoint
-from agatethread.transfer import split
+from agatethread.transfer import split_message
 from agatethread.wire import (
     Envelope,
     Kind,
@@ -248,7 +248,7 @@
         service=envelope.service,
         partner=envelope.partner,
         caller=caller,
-        datagrams=split(envelope),
+        datagrams=split_message(envelope),
         idempotent=envelope.idempotent,
         deadline_at_s=deadline_at_s,
         token=token,
--- a/src/agatethread/registry/_transport.py
+++ b/src/agatethread/registry/_transport.py
@@ -12,11 +12,11 @@
 from agatethread.observability import Counters
 from agatethread.registry._traffic import TrafficCounter, name_purpose
 from agatethread.sockets import (
-    drain_into,
+    close_socket,
+    make_reader,
+    make_sender,
     open_socket,
-    send_or_count,
     start_reading,
-    stop_reading,
 )
 from agatethread.wire import pack_address, unpack_address
 from agatethread.wire.registry_pb2 import RegistryMessage
@@ -68,7 +68,7 @@
         self._socket = open_socket(address)
         self._counters = counters
         self._traffic = TrafficCounter(failure_domain, counters)
-        self._send = send_or_count(self._socket, counters)
+        self._send = make_sender(self._socket, counters)
         #: A message is usually sent to many receivers in turn, and is serialized once.
         self._last_message: RegistryMessage | None = None
         self._last_data = b""
@@ -89,7 +89,7 @@
             handler(message, sender)
 
         start_reading(
-            self._socket, drain_into(self._socket, on_datagram, self._counters)
+            self._socket, make_reader(self._socket, on_datagram, self._counters)
         )
 
     def send(self, message: RegistryMessage, address: bytes) -> None:
@@ -113,4 +113,4 @@
 
     def close(self) -> None:
         """Stop reading and close the socket."""
-        stop_reading(self._socket)
+        close_socket(self._socket)
--- a/src/agatethread/sockets/__init__.py
+++ b/src/agatethread/sockets/__init__.py
@@ -2,18 +2,18 @@
 
 from agatethread.sockets._datagrams import (
     DatagramHandler,
-    drain_into,
+    close_socket,
+    make_reader,
+    make_sender,
     open_socket,
-    send_or_count,
     start_reading,
-    stop_reading,
 )
 
 __all__ = [
     "DatagramHandler",
-    "drain_into",
+    "make_reader",
     "open_socket",
-    "send_or_count",
+    "make_sender",
     "start_reading",
-    "stop_reading",
+    "close_socket",
 ]
--- a/src/agatethread/sockets/_datagrams.py
+++ b/src/agatethread/sockets/_datagrams.py
@@ -44,7 +44,7 @@
     return sock
 
 
-def drain_into(
+def make_reader(
     sock: socket.socket, handler: DatagramHandler, counters: Counters
 ) -> Callable[[], None]:
     """Return a function that reads the datagrams waiting at a socket.
@@ -93,12 +93,12 @@
     sock : socket.socket
         Socket to read.
     reader : callable
-        Function returned by `drain_into`.
+        Function returned by `make_reader`.
     """
     asyncio.get_running_loop().add_reader(sock.fileno(), reader)
 
 
-def stop_reading(sock: socket.socket) -> None:
+def close_socket(sock: socket.socket) -> None:
     """Unregister and close a socket.
 
     Parameters
@@ -110,7 +110,7 @@
     sock.close()
 
 
-def send_or_count(
+def make_sender(
     sock: socket.socket, counters: Counters
 ) -> Callable[[bytes, tuple[str, int]], None]:
     """Return a function that sends a datagram and counts send errors.
--- a/src/agatethread/transfer/_assembler.py
+++ b/src/agatethread/transfer/_assembler.py
@@ -22,7 +22,7 @@
 class PartialMessage:
     """Incomplete message with the fragments received so far."""
 
-    first: Envelope
+    first_fragment: Envelope
     source: bytes
     last_fragment_s: float
     last_request_s: float = 0.0
@@ -31,7 +31,7 @@
     @property
     def reserved_bytes(self) -> int:
         """Memory reserved for the message."""
-        return self.first.fragment_count * FRAGMENT_BYTES
+        return self.first_fragment.fragment_count * FRAGMENT_BYTES
 
     def missing(self) -> list[int]:
         """Return the indices of missing fragments.
@@ -42,7 +42,7 @@
             The lowest ones, as many as fit in a datagram.
         """
         indices = []
-        for index in range(self.first.fragment_count):
+        for index in range(self.first_fragment.fragment_count):
             if index not in self.payloads:
                 indices.append(index)
                 if len(indices) == MISSING_LIMIT_COUNT:
@@ -106,7 +106,7 @@
         self._check_fragment(partial, envelope)
         partial.last_fragment_s = self._now_s()
         partial.payloads[envelope.fragment_index] = envelope.payload
-        if len(partial.payloads) < partial.first.fragment_count:
+        if len(partial.payloads) < partial.first_fragment.fragment_count:
             return None
         return self._join_fragments(key, partial)
 
@@ -129,7 +129,7 @@
 
     @staticmethod
     def _check_fragment(partial: PartialMessage, envelope: Envelope) -> None:
-        first = partial.first
+        first = partial.first_fragment
         is_same_message = (envelope.fragment_count, envelope.checksum) == (
             first.fragment_count,
             first.checksum,
@@ -144,13 +144,13 @@
 
     def _join_fragments(self, key: Hashable, partial: PartialMessage) -> Envelope:
         self.drop(key)
-        count = partial.first.fragment_count
+        count = partial.first_fragment.fragment_count
         payload = b"".join(partial.payloads[index] for index in range(count))
-        if xxh64_intdigest(payload) != partial.first.checksum:
+        if xxh64_intdigest(payload) != partial.first_fragment.checksum:
             raise DatagramError("wrong checksum")
 
         message = Envelope()
-        message.CopyFrom(partial.first)
+        message.CopyFrom(partial.first_fragment)
         for field_name in ("fragment_index", "fragment_count", "checksum"):
             message.ClearField(field_name)
         message.payload = payload
@@ -172,7 +172,7 @@
         if not self._reserved_by_source[partial.source]:
             del self._reserved_by_source[partial.source]
 
-    def take_quiet(self) -> list[tuple[PartialMessage, list[int]]]:
+    def collect_missing(self) -> list[tuple[PartialMessage, list[int]]]:
         """Return the due requests for missing fragments, and drop abandoned messages.
 
         Returns
--- a/src/agatethread/transfer/_outbox.py
+++ b/src/agatethread/transfer/_outbox.py
@@ -10,7 +10,7 @@
 Send = Callable[[bytes], None]
 
 
-class Outbox:
+class FragmentSender:
     """Sends messages and stores their fragments until they are complete."""
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
     def __len__(self) -> int:
         return len(self._stored)
 
-    def start(self, key: Hashable, datagrams: list[bytes], send: Send) -> None:
+    def send_message(self, key: Hashable, datagrams: list[bytes], send: Send) -> None:
         """Send a message, and store its fragments if there are several.
 
         Parameters
@@ -56,7 +56,7 @@
         requested = [datagrams[index] for index in indices if index < len(datagrams)]
         self._enqueue(requested, send)
 
-    def done(self, key: Hashable) -> None:
+    def delete(self, key: Hashable) -> None:
         """Delete the stored fragments of a message.
 
         Parameters
--- a/src/agatethread/transfer/_splitting.py
+++ b/src/agatethread/transfer/_splitting.py
@@ -10,7 +10,7 @@
 MAX_MESSAGE_BYTES = 8 << 20
 
 
-def split(envelope: Envelope) -> list[bytes]:
+def split_message(envelope: Envelope) -> list[bytes]:
     """Return the serialized datagrams of a message.
 
     Parameters
@@ -64,4 +64,4 @@
     """
     if len(data) <= MAX_DATAGRAM_BYTES:
         return [data]
-    return split(Envelope.FromString(data))
+    return split_message(Envelope.FromString(data))
--- a/standins/backend_server.py
+++ b/standins/backend_server.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from agatethread.settings import parse_address
-from agatethread.transfer import Assembler, Outbox, split
+from agatethread.transfer import Assembler, FragmentSender, split_message
 from agatethread.wire import Announcement, Envelope, Kind, pack_address, sign
 from standins.commands import serve_commands
 
@@ -58,7 +58,7 @@
         self._streams: dict[int, _Stream] = {}
         self._running: dict[tuple[bytes, int], asyncio.Task] = {}
         self._unreceived: dict[tuple[bytes, int], tuple[list[bytes], float]] = {}
-        self._outbox = Outbox()
+        self._outbox = FragmentSender()
         self._assembler = Assembler(time.monotonic, 256 << 20, 256 << 20)
         self._seen: set[tuple[bytes, int]] = set()
         self._sequence = 0
@@ -174,7 +174,7 @@
             cookie=envelope.cookie,
             **fields,
         )
-        datagrams = split(reply)
+        datagrams = split_message(reply)
         self._outbox.send_paced(
             datagrams, lambda data: self._transport.sendto(data, addr)
         )
@@ -251,12 +251,12 @@
         """Ask for fragments of requests that did not arrive."""
         while True:
             await asyncio.sleep(0.05)
-            for partial, indices in self._assembler.take_quiet():
+            for partial, indices in self._assembler.collect_missing():
                 missing = Envelope(
                     kind=Kind.MISSING,
-                    service=partial.first.service,
-                    operation_id=partial.first.operation_id,
-                    return_label=partial.first.return_label,
+                    service=partial.first_fragment.service,
+                    operation_id=partial.first_fragment.operation_id,
+                    return_label=partial.first_fragment.return_label,
                     missing=indices,
                 )
                 target = self._random.choice(self._instances)
--- a/tests/control/test_watch_server.py
+++ b/tests/control/test_watch_server.py
@@ -6,7 +6,7 @@
 
 from agatethread.control import ReplicatedState
 from agatethread.control._watch_server import WatchServer
-from agatethread.entry._documents import DocumentBook
+from agatethread.entry._documents import DocumentStore
 from agatethread.wire.control_pb2 import Command, PutDocument, WatchRequest
 from benchmarks.virtual_time import VirtualLoop
 
@@ -21,7 +21,7 @@
     def __init__(self):
         self.state = ReplicatedState()
         self.watch_server = WatchServer(self.state)
-        self.book = DocumentBook()
+        self.book = DocumentStore()
         self.stream = self.watch_server.serve(self.requests(), None)
 
     async def requests(self):
@@ -39,7 +39,7 @@
         self.watch_server.wake()
 
     async def read(self):
-        self.book.take(await anext(self.stream))
+        self.book.apply_update(await anext(self.stream))
 
     def received(self):
         return {
--- a/tests/entry/test_documents.py
+++ b/tests/entry/test_documents.py
@@ -1,7 +1,7 @@
 import asyncio
 import unittest
 
-from agatethread.entry._documents import DocumentBook, DocumentWatcher
+from agatethread.entry._documents import DocumentStore, DocumentWatcher
 from agatethread.observability import Counters
 from agatethread.settings import Settings
 from agatethread.wire.control_pb2 import DocumentRecord, WatchUpdate
@@ -26,10 +26,12 @@
         self.acknowledged.append(request.applied_index)
 
 
-class TestDocumentBook(unittest.TestCase):
+class TestDocumentStore(unittest.TestCase):
     def setUp(self):
-        self.document_store = DocumentBook()
-        self.document_store.take(WatchUpdate(index=1, documents=[record("tab", 1, 1)]))
+        self.document_store = DocumentStore()
+        self.document_store.apply_update(
+            WatchUpdate(index=1, documents=[record("tab", 1, 1)])
+        )
 
     def versions(self):
         return {
@@ -39,10 +41,12 @@
 
     def test_applies_document_missing_from_other_stream(self):
         """A document missing from one stream is applied from another one."""
-        self.document_store.take(WatchUpdate(index=2))
+        self.document_store.apply_update(WatchUpdate(index=2))
         all_records = [record("tab", 1, 1), record("receipts", 1, 2)]
         self.assertTrue(
-            self.document_store.take(WatchUpdate(index=2, documents=all_records))
+            self.document_store.apply_update(
+                WatchUpdate(index=2, documents=all_records)
+            )
         )
         self.assertEqual(self.versions(), {"tab": 1, "receipts": 1})
 
@@ -51,16 +55,16 @@
         newer_update = WatchUpdate(
             index=3, documents=[record("tab", 2, 3)], drained=["entry-2"]
         )
-        self.assertTrue(self.document_store.take(newer_update))
+        self.assertTrue(self.document_store.apply_update(newer_update))
         outdated_update = WatchUpdate(index=1, documents=[record("tab", 1, 1)])
-        self.assertFalse(self.document_store.take(outdated_update))
+        self.assertFalse(self.document_store.apply_update(outdated_update))
         self.assertEqual(self.versions(), {"tab": 2})
         self.assertEqual(self.document_store.drained, {"entry-2"})
         self.assertEqual(self.document_store.index, 3)
 
     def test_heartbeat_changes_nothing(self):
         """An update without a newer index changes nothing."""
-        self.assertFalse(self.document_store.take(WatchUpdate(index=1)))
+        self.assertFalse(self.document_store.apply_update(WatchUpdate(index=1)))
 
     def test_watcher_applies_new_document_at_known_index(self):
         """A new document is applied though the index of the update is known."""
--- a/tests/entry/test_instance.py
+++ b/tests/entry/test_instance.py
@@ -9,7 +9,7 @@
 from agatethread.entry import EntryInstance
 from agatethread.observability import Counters
 from agatethread.settings import EntrySettings, Settings, format_address
-from agatethread.sockets import drain_into
+from agatethread.sockets import make_reader
 from agatethread.wire import (
     Cookie,
     Envelope,
@@ -118,12 +118,12 @@
     def from_caller(self, *datagrams):
         handler = self.instance._datagram_router.on_caller_datagram
         socket = FakeSocket((data, CALLER) for data in datagrams)
-        drain_into(socket, handler, self.counters)()
+        make_reader(socket, handler, self.counters)()
 
     def from_inner(self, *datagrams, source=BACKEND):
         handler = self.instance._datagram_router.on_inner_datagram
         socket = FakeSocket((data, source) for data in datagrams)
-        drain_into(socket, handler, self.counters)()
+        make_reader(socket, handler, self.counters)()
 
 
 class TestBadDatagrams(InstanceCase):
@@ -185,7 +185,7 @@
         def handler(data, _):
             raise RuntimeError(data)
 
-        drain_into(
+        make_reader(
             FakeSocket([(b"1", CALLER), (b"2", CALLER)]), handler, self.counters
         )()
         self.assertEqual(self.counters["dropped_by_fault"], 2)
