--- a/src/agatethread/cli/__init__.py
+++ b/src/agatethread/cli/__init__.py
@@ -11,9 +11,9 @@
 
 __all__ = [
     "ControlTarget",
-    "query_statuses",
     "apply_command",
     "dump_instance",
+    "query_statuses",
     "run_ctl",
     "run_daemon",
 ]
--- a/src/agatethread/control/__init__.py
+++ b/src/agatethread/control/__init__.py
@@ -14,10 +14,10 @@
 
 __all__ = [
     "ControlInstance",
-    "ReplicatedState",
     "LogStorage",
     "PeerCalls",
     "RaftNode",
+    "ReplicatedState",
     "Role",
     "RoutingControlInstance",
     "RoutingControlSettings",
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -51,8 +51,7 @@
     RoutingTable,
 )
 
-#: Two polls fit into the timeout of a control instance.
-_POLL_INTERVAL_S = 0.4
+_POLL_INTERVAL_S = 0.4  # two polls fit into the timeout of a control instance
 _VIEW_UPDATE_INTERVAL_S = 0.2
 #: Bounds the delay of each step from a waiting flow to the decision of all instances.
 _SUSPECT_CHECK_INTERVAL_S = 0.1
@@ -63,8 +62,7 @@
 _OPENING_QUEUE_INTERVAL_S = 0.05
 #: Time without answers from other failure domains; equals control instances' timeout.
 _CUT_OFF_TIMEOUT_S = 1.0
-#: Never delays a packet.
-_UNPACED_BITS_PER_S = 1e12
+_UNPACED_BITS_PER_S = 1e12  # never delays a packet
 _TURN_POLL_INTERVAL_S = 0.1
 
 log = make_logger("entry")
--- a/src/agatethread/operations/__init__.py
+++ b/src/agatethread/operations/__init__.py
@@ -14,12 +14,12 @@
 
 __all__ = [
     "ClaimRequester",
-    "StandbyClaims",
+    "InstanceCallbacks",
     "Operation",
     "OperationOwner",
-    "InstanceCallbacks",
     "RefusedError",
     "ServiceQueue",
+    "StandbyClaims",
     "make_refused_verdict",
     "make_unknown_verdict",
 ]
--- a/src/agatethread/registry/_publisher.py
+++ b/src/agatethread/registry/_publisher.py
@@ -38,9 +38,7 @@
 #: Time without a poll after which changes are no longer sent to a subscriber.
 _SUBSCRIBER_LEASE_S = 2.0
 _SUBSCRIBER_RETENTION_S = 10.0
-
-#: Minimum time between two rounds, for each subscriber. Handles a burst of changes, as
-#: after a power loss: those within the pause share the next round.
+#: Minimum time between two rounds, for each subscriber; merges bursts of changes.
 _PAUSE_PER_SUBSCRIBER_S = 0.00005
 #: Minimum time between two rounds, for each message of the last round.
 _PAUSE_PER_MESSAGE_S = 0.0001
@@ -100,7 +98,6 @@
         self._own_domain_count = 0
         #: Adds dispatchers to a reply, where dispatching is enabled.
         self.add_dispatchers: Callable[[HubState, Subscriber], None] = lambda *_: None
-        #: Returns the other reachable control instances.
         self.list_other_controls: Callable[[], Iterable[ControlLink]] = tuple
 
     def offer_routes(self, offer: CompressedTable) -> None:
@@ -138,10 +135,8 @@
     def greet(self, entries: Iterable[KnownEntry]) -> None:
         """Announce this instance to the entry instances known before a restart.
 
-        Handles a power loss of the whole system, where all entry instances wait for the
-        first control instance. Those of the own failure domain receive the full state
-        at once. The others receive a greeting and request the state if they lack it, so
-        that it crosses each link once.
+        Handles a power loss of the whole system. The own failure domain receives the
+        full state. The others request it, so that it crosses each link once.
 
         Parameters
         ----------
@@ -205,10 +200,7 @@
         self._notify_waiters()
 
     def flush_soon(self) -> None:
-        """Send pending changes, unless the last round was too recent.
-
-        In that case the next regular call of `flush` sends them.
-        """
+        """Send pending changes, unless the last round was too recent."""
         pause_s = _PAUSE_PER_SUBSCRIBER_S * len(self._subscribers)
         pause_s = max(pause_s, _PAUSE_PER_MESSAGE_S * self._sent_count)
         if self._now_s() - self._last_flush_s >= pause_s:
@@ -366,11 +358,8 @@
         sums = self._sightings.sum_domain(self._failure_domain, now_s)
         if sums.runs:
             message = RegistryMessage(sightings=sums)
-            for address, subscriber in self.reachable_subscribers():
-                if (
-                    subscriber.is_control
-                    and subscriber.failure_domain != self._failure_domain
-                ):
+            for address, peer in self.reachable_subscribers():
+                if peer.is_control and peer.failure_domain != self._failure_domain:
                     self._send(message, address)
 
     async def flush_and_wait(self, timeout_s: float) -> bool:
@@ -397,9 +386,7 @@
     def _notify_waiters(self) -> None:
         if not self._waiters:
             return
-        seen_indexes = [
-            subscriber.seen_index for _, subscriber in self.reachable_subscribers()
-        ]
+        seen_indexes = [peer.seen_index for _, peer in self.reachable_subscribers()]
         self._waiters.complete_through(min(seen_indexes, default=self._runs.index))
 
     def dump(self) -> list[dict[str, object]]:
--- a/src/agatethread/registry/_subscription.py
+++ b/src/agatethread/registry/_subscription.py
@@ -212,11 +212,7 @@
                 )
 
     def _send_probe(self, link: ControlLink) -> None:
-        """Send a probe to a control instance.
-
-        Only control instances of the own failure domain answer a probe with their full
-        state, so that an entry instance does not receive it several times.
-        """
+        """Send a probe; only the own failure domain answers with its full state."""
         link.probed_s = self._now_s()
         self._send_poll(link, wants_reply=True, probe=not self._is_control)
 
--- a/src/agatethread/routing/__init__.py
+++ b/src/agatethread/routing/__init__.py
@@ -21,25 +21,25 @@
 )
 
 __all__ = [
-    "ColdLimit",
     "LOWEST_URGENCY",
     "NO_ROUTES",
     "URGENCY_NOT_SET",
+    "AnnouncementResult",
+    "ColdLimit",
     "Endpoint",
     "EndpointTable",
     "FlowTable",
-    "AnnouncementResult",
     "OpenFlowOutcome",
     "Route",
     "RouteRule",
     "RouteTable",
     "RoutingDocument",
     "Target",
+    "add_earlier_services",
     "check_document",
     "choose_for_request",
     "choose_for_stream",
     "decode_table",
     "encode_table",
     "judge_open_flow",
-    "add_earlier_services",
 ]
--- a/src/agatethread/settings/__init__.py
+++ b/src/agatethread/settings/__init__.py
@@ -61,11 +61,11 @@
     "load_policies",
     "load_settings",
     "parse_address",
+    "parse_data_class",
     "parse_document",
     "parse_policies",
     "parse_settings",
     "policy_fields",
-    "parse_data_class",
     "switch_off",
 ]
 
--- a/src/agatethread/sockets/__init__.py
+++ b/src/agatethread/sockets/__init__.py
@@ -11,9 +11,9 @@
 
 __all__ = [
     "DatagramHandler",
+    "close_socket",
     "make_reader",
-    "open_socket",
     "make_sender",
+    "open_socket",
     "start_reading",
-    "close_socket",
 ]
--- a/src/agatethread/transfer/__init__.py
+++ b/src/agatethread/transfer/__init__.py
@@ -15,6 +15,6 @@
     "Assembler",
     "FragmentSender",
     "PartialMessage",
-    "split_message",
     "split_datagram",
+    "split_message",
 ]
--- a/src/agatethread/wire/__init__.py
+++ b/src/agatethread/wire/__init__.py
@@ -71,7 +71,6 @@
     "decode_peer",
     "encode_peer",
     "load_sealer",
-    "split_operation_id",
     "pack_address",
     "parse_cookie",
     "parse_label",
@@ -82,6 +81,7 @@
     "seal_token",
     "service_hash",
     "sign",
+    "split_operation_id",
     "unpack_address",
     "verify_signature",
 ]
