--- a/benchmarks/log_cost.py
+++ b/benchmarks/log_cost.py
@@ -23,10 +23,10 @@
     LabelForwarder,
     Packet,
     PacketCodec,
-    label_of,
+    derive_label,
 )
-from agatethread.observability import Counters, LineBudget, LineWriter
-from agatethread.observability._logging import BoundedHandler
+from agatethread.observability import Counters, LineRateLimiter, LineWriter
+from agatethread.observability._logging import RateLimitedHandler
 from agatethread.routing import Route, RouteTable, Target
 from agatethread.wire import pack_address
 from agatethread.wire.registry_pb2 import BackendRun
@@ -43,7 +43,7 @@
         port, opens = int.from_bytes(data[:4], "big"), data[4] == 1
         key = FlowKey(1, port, *_HOST)
         size = 0 if opens else len(_PAYLOAD)
-        label = 0 if opens else label_of(port % 7 + 1)
+        label = 0 if opens else derive_label(port % 7 + 1)
         return Packet(label, key, opens, 0, False, False, port, port, size, data)
 
     return PacketCodec(
@@ -111,7 +111,7 @@
         return spent_s
 
 
-def _handler(is_read: bool) -> BoundedHandler:
+def _handler(is_read: bool) -> RateLimitedHandler:
     reading, writing = os.pipe()
     if is_read:
 
@@ -122,8 +122,10 @@
         threading.Thread(target=read, daemon=True).start()
     # A second passes faster here than its packets would take to come, so the bound on
     # lines a second is lifted: this is what they cost at most.
-    budget = LineBudget(rate_per_s=1e9, burst=1e9)
-    return BoundedHandler(LineWriter(writing, batch_bytes=4_096), budget, logbook.INFO)
+    budget = LineRateLimiter(rate_per_s=1e9, burst=1e9)
+    return RateLimitedHandler(
+        LineWriter(writing, batch_bytes=4_096), budget, logbook.INFO
+    )
 
 
 def main() -> None:
--- a/src/agatethread/control/_orders.py
+++ b/src/agatethread/control/_orders.py
@@ -10,7 +10,7 @@
 
 from agatethread.control._members import find_member
 from agatethread.control._raft import RaftNode
-from agatethread.control._state import find_name_error
+from agatethread.control._replicated_state import find_name_error
 from agatethread.exceptions import ChangeRefusedError, FieldError, UnavailableError
 from agatethread.observability import Counters, Event, Histogram, make_logger
 from agatethread.registry import EvacuationPublisher
@@ -67,7 +67,7 @@
             raise UnavailableError("the log is not open")
         return node
 
-    def leader_api(self) -> str:
+    def get_leader_api(self) -> str:
         """Return the address of the leader's API.
 
         Returns
@@ -105,7 +105,7 @@
         current_version = node.documents.routes.version
         if document.version <= current_version:
             log.info(
-                Event.CHANGE_OVERTAKEN,
+                Event.CHANGE_SUPERSEDED,
                 version=document.version,
                 version_held=current_version,
             )
@@ -192,7 +192,7 @@
         agreed_s = self._now_s()
         version = node.documents.evacuations.version
         remaining_s = _ACKNOWLEDGEMENT_TIMEOUT_S - (agreed_s - started_s)
-        is_known_everywhere = await self._evacuations.wait_until_known(
+        is_known_everywhere = await self._evacuations.wait_until_acknowledged(
             version, max(0.0, min(self._evacuation_wait_s, remaining_s))
         )
         log.info(
--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -16,23 +16,23 @@
 
 from agatethread.control._hints import HintSaver
 from agatethread.control._log_opening import log_opened, open_log
-from agatethread.control._member_keeper import MemberKeeper
+from agatethread.control._membership import MembershipManager
 from agatethread.control._orders import OperatorOrders
 from agatethread.control._raft import RaftNode
 from agatethread.control._roles import Role
+from agatethread.control._routing_metrics import dump_log, make_measures
 from agatethread.control._routing_settings import RoutingControlSettings
-from agatethread.control._routing_state import dump_log, make_measures
 from agatethread.control._storage import LogStorage
-from agatethread.observability import Counters, Event, Measures, make_logger
+from agatethread.observability import Counters, Event, Metrics, make_logger
 from agatethread.registry import (
+    CompressedTable,
     DispatcherDirectory,
     EvacuationPublisher,
     Hints,
-    QualityKeeper,
-    RegistryHub,
+    QualityMonitor,
+    RegistryPublisher,
     RegistryTransport,
     Report,
-    RoutesOffer,
     RunTable,
     Subscription,
     load_hints,
@@ -68,7 +68,7 @@
 log = make_logger("control")
 
 
-class RoutingControl(Service):
+class RoutingControlInstance(Service):
     """Maintains the routing table and the registry of backend servers.
 
     Parameters
@@ -86,7 +86,7 @@
         self.timers = self.add_dependency(TimerService())
         self.node: RaftNode | None = None
         self._log_port: LogPort | None = None
-        self._membership: MemberKeeper | None = None
+        self._membership: MembershipManager | None = None
         self._hints: HintSaver | None = None
         self._published_version = 0
         self._started_s = self.timers.now_s()
@@ -109,7 +109,7 @@
             settings.failure_domain,
         )
         self.runs = RunTable(settings.report_interval_s, now_s)
-        self.hub = RegistryHub(
+        self.hub = RegistryPublisher(
             self.runs,
             settings.failure_domain,
             self._transport.send,
@@ -119,16 +119,16 @@
         )
         self._dispatchers = DispatcherDirectory(
             settings.failure_domain,
-            self.hub.entries_in_sight,
+            self.hub.reachable_entries,
             lambda: (run for _, run in self.runs.changes_after(0, False)),
-            lambda: self.subscription.live(),
+            lambda: self.subscription.reachable_links(),
             now_s,
         )
-        self.quality: QualityKeeper | None = None
+        self.quality: QualityMonitor | None = None
         if settings.parts.judges_answers:
             self.quality = self._make_quality_keeper()
         self._evacuations = EvacuationPublisher(
-            self.hub.in_sight, self._transport.send, now_s
+            self.hub.reachable_subscribers, self._transport.send, now_s
         )
         self.subscription = Subscription(
             settings.failure_domain,
@@ -142,16 +142,16 @@
             self.counters,
             self._evacuations,
         )
-        self._evacuations.on_known = self.subscription.poll
-        self.subscription.on_number = self._on_number
-        self.hub.list_hubs = self.subscription.live
+        self._evacuations.on_acknowledged = self.subscription.poll
+        self.subscription.on_numbered_report = self._on_number
+        self.hub.list_other_controls = self.subscription.reachable_links
 
-    def _make_quality_keeper(self) -> QualityKeeper:
-        return QualityKeeper(
+    def _make_quality_keeper(self) -> QualityMonitor:
+        return QualityMonitor(
             self.settings.failure_domain,
             lambda: (run for _, run in self.runs.changes_after(0, False)),
-            self.hub.entries_in_sight,
-            lambda: [link.address for link in self.subscription.live()],
+            self.hub.reachable_entries,
+            lambda: [link.address for link in self.subscription.reachable_links()],
             self._transport.send,
             self.timers.now_s,
             self.counters,
@@ -170,19 +170,21 @@
         hints = Hints()
         if policies.keeps_hints:
             hints = load_hints(self.settings.data_dir)
-        self.runs.remember(hints.runs)
+        self.runs.restore(hints.runs)
         self._transport.start(self._on_message)
         if policies.greets_known_entries:
             self.hub.greet(hints.entries)
         self.timers.subscribe(_POLL_INTERVAL_S, self.subscription.poll)
         if policies.asks_urgently:
-            self.timers.subscribe(_URGENT_INTERVAL_S, self.subscription.knock_urgently)
+            self.timers.subscribe(
+                _URGENT_INTERVAL_S, self.subscription.probe_if_unreachable
+            )
         self.timers.subscribe(_FLUSH_INTERVAL_S, self.hub.flush)
         self.timers.subscribe(_FLUSH_INTERVAL_S, self._evacuations.publish)
         self.timers.subscribe(_SWEEP_INTERVAL_S, self.runs.sweep)
-        self.timers.subscribe(_SIGHTINGS_INTERVAL_S, self.hub.tell_sightings)
+        self.timers.subscribe(_SIGHTINGS_INTERVAL_S, self.hub.send_sightings)
         if self.settings.parts.relays_openings:
-            self.hub.add_dispatchers = self._dispatchers.add_to
+            self.hub.add_dispatchers = self._dispatchers.add_to_reply
             self.timers.subscribe(_DISPATCHERS_INTERVAL_S, self._dispatchers.refresh)
         if self.quality:
             self.timers.subscribe(_QUALITY_INTERVAL_S, self.quality.tick)
@@ -231,19 +233,20 @@
             connect=lambda member: self._log_port.connect(member.target),
         )
 
-    def _make_membership(self, node: RaftNode, port: "LogPort") -> MemberKeeper:
+    def _make_membership(self, node: RaftNode, port: "LogPort") -> MembershipManager:
         settings = self.settings
         address = ControlMember(
             target=settings.target,
             api=settings.api,
             failure_domain=settings.failure_domain,
         )
-        return MemberKeeper(
+        return MembershipManager(
             node,
             address,
             settings.voter_count,
             lambda: [
-                self._get_log_target(link.address) for link in self.subscription.live()
+                self._get_log_target(link.address)
+                for link in self.subscription.reachable_links()
             ],
             port.connect,
             self.timers.now_s,
@@ -252,8 +255,8 @@
 
     def _manage_members(self) -> None:
         if self._membership is not None and self.node is not None:
-            self._membership.ask_to_join()
-            self._membership.manage()
+            self._membership.request_join()
+            self._membership.start_next_change()
 
     async def leave(self) -> None:
         """Log the stop; the other control instances need no notice."""
@@ -270,7 +273,7 @@
 
     def _publish_state(self, node: RaftNode) -> None:
         routes, evacuations = node.documents.routes, node.documents.evacuations
-        has_new_evacuations = self._evacuations.offer(evacuations)
+        has_new_evacuations = self._evacuations.publish_newer(evacuations)
         if routes.version <= self._published_version and not has_new_evacuations:
             return
         if not routes.version:
@@ -279,7 +282,7 @@
         self.runs.services = frozenset(RoutingTable.FromString(routes.table).services)
         compressed = zlib.compress(routes.table)
         self.hub.offer_routes(
-            RoutesOffer(routes.version, compressed, self._evacuations.newest)
+            CompressedTable(routes.version, compressed, self._evacuations.newest)
         )
 
     async def report(self, report: Report) -> None:
@@ -306,25 +309,25 @@
         run_id : str
             Id of the run.
         started_ms : int
-            Start of the run; `START_NOT_TOLD` if unknown.
+            Start of the run; `START_UNKNOWN` if unknown.
 
         Raises
         ------
         ReportRefusedError
             If it is ambiguous which run has ended.
         """
-        if self.runs.leave(run_id, started_ms):
+        if self.runs.end_run(run_id, started_ms):
             await self._spread("leave", run_id, True)
 
     async def _spread(self, change_kind: str, run_id: str, leaving: bool) -> None:
         # An acknowledged drain or end must not be lost if this process fails.
         if not leaving:
-            self.hub.tell_soon()
+            self.hub.flush_soon()
             return
-        is_spread = await self.hub.spread(_SPREAD_TIMEOUT_S)
+        is_spread = await self.hub.flush_and_wait(_SPREAD_TIMEOUT_S)
         if not is_spread:
             self.counters["spread_incomplete"] += 1
-            log.warning(Event.NOT_SPREAD, what=change_kind, run=run_id)
+            log.warning(Event.PROPAGATION_TIMEOUT, what=change_kind, run=run_id)
 
     def _is_settled(self) -> bool:
         uptime_s = self.timers.now_s() - self._started_s
@@ -339,7 +342,7 @@
         body = message.WhichOneof("body")
         if body == "poll":
             if message.poll.is_control:
-                self.subscription.meet(source, message.poll.failure_domain)
+                self.subscription.add_control(source, message.poll.failure_domain)
             self.hub.on_poll(message.poll, source)
         elif body == "delta":
             self.subscription.on_delta(message.delta, source)
@@ -349,19 +352,19 @@
             self.quality.on_message(message, source)
 
     def _on_run(self, run: BackendRun) -> None:
-        if self.runs.take(run):
-            self.hub.tell_soon()
+        if self.runs.apply_peer_run(run):
+            self.hub.flush_soon()
 
     def _on_number(self, number: int, sequence: int, starts: Mapping[str, int]) -> None:
-        if self.runs.take_number(number, sequence, starts):
-            self.hub.tell_soon()
+        if self.runs.apply_numbered_report(number, sequence, starts):
+            self.hub.flush_soon()
 
-    def measures(self) -> Measures:
+    def measures(self) -> Metrics:
         """Return the metrics of this instance.
 
         Returns
         -------
-        Measures
+        Metrics
             Values are read when metrics are requested.
         """
         return make_measures(
--- a/src/agatethread/control/_routing_state.py
+++ b/src/agatethread/control/_routing_metrics.py
@@ -5,17 +5,17 @@
 
 from agatethread.control._raft import RaftNode
 from agatethread.control._roles import Role
-from agatethread.observability import Counters, Histogram, Measures
-from agatethread.registry import RegistryHub, RunTable
+from agatethread.observability import Counters, Histogram, Metrics
+from agatethread.registry import RegistryPublisher, RunTable
 
 
 def make_measures(
     counters: Counters,
     runs: RunTable,
-    hub: RegistryHub,
+    hub: RegistryPublisher,
     get_node: Callable[[], RaftNode | None],
     change_s: Histogram,
-) -> Measures:
+) -> Metrics:
     """Return the metrics of a control instance.
 
     Parameters
@@ -24,7 +24,7 @@
         The process's counters.
     runs : RunTable
         Runs of the backend servers.
-    hub : RegistryHub
+    hub : RegistryPublisher
         Lists the subscribers.
     get_node : callable
         Returns the member of the log; None while the log is not open.
@@ -33,7 +33,7 @@
 
     Returns
     -------
-    Measures
+    Metrics
         Values are read when metrics are requested.
     """
 
@@ -44,7 +44,7 @@
 
         return read_gauge
 
-    return Measures(
+    return Metrics(
         counters,
         {
             "runs": lambda: float(len(runs)),
--- a/src/agatethread/datapath/_backends.py
+++ b/src/agatethread/datapath/_backends.py
@@ -155,7 +155,7 @@
         if failure_domain == self._exempt_domain:
             return
         if self._evacuated & {failure_domain, self._exempt_domain}:
-            log.info(Event.EVACUATION_EXEMPT, domain=failure_domain)
+            log.info(Event.EVACUATION_BYPASSED, domain=failure_domain)
         self._exempt_domain = failure_domain
         for backend in self._by_id.values():
             backend.evacuated = self._is_evacuated(backend)
@@ -208,13 +208,13 @@
             # The run with the lower id is used, so that all instances decide alike.
             excluded = max(existing, backend, key=lambda candidate: candidate.id)
             excluded.is_label_taken = True
-            log.error(Event.LABEL_SHARED, kept=existing.id, other=backend.id)
+            log.error(Event.LABEL_COLLISION, kept=existing.id, other=backend.id)
             if excluded is existing:
                 self._by_label[backend.label] = backend
         else:
             self._by_label[backend.label] = backend
         self._by_service.setdefault(backend.service, []).append(backend)
-        self._record_change(backend, Event.RUN_KNOWN)
+        self._record_change(backend, Event.RUN_ADDED)
         return backend
 
     def _replace(self, earlier: Backend, run: BackendRun) -> Backend:
--- a/src/agatethread/datapath/_cold.py
+++ b/src/agatethread/datapath/_cold.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 
 from agatethread.datapath._backend import Backend
-from agatethread.registry import NO_RANK, EntryRank
+from agatethread.registry import UNKNOWN_RANK, EntryRank
 
 #: Number of groups of instances whose ranks may be assigned independently for a time:
 #: both sides of a network cut, and instances whose rank has just changed. Each group
@@ -67,7 +67,7 @@
         #: New flows per second of a cold run, by service, for services that set a rate.
         self.rates_per_s: Mapping[str, float] = {}
         #: Rank of this instance among all, assigned by control instances.
-        self.rank = NO_RANK
+        self.rank = UNKNOWN_RANK
 
     def is_limited(self, backend: Backend, now_s: float) -> bool:
         """Return whether a run is cold and its service limits cold runs.
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -15,15 +15,15 @@
 from agatethread.datapath._pacing import PacedSender
 from agatethread.datapath._packets import PacketCodec
 from agatethread.datapath._readiness import Readiness
-from agatethread.observability import Counters, Event, Measures, make_logger
+from agatethread.observability import Counters, Event, Metrics, make_logger
 from agatethread.registry import (
-    KnownEvacuations,
+    ReceivedEvacuations,
     RegistryTransport,
     Subscription,
-    are_silent,
+    are_other_domains_unreachable,
     is_cut_off,
     merge_dispatchers,
-    widest_rank,
+    most_complete_rank,
 )
 from agatethread.routing import decode_table
 from agatethread.settings import (
@@ -35,11 +35,11 @@
     parse_address,
 )
 from agatethread.sockets import (
-    drain_into,
+    close_socket,
+    make_reader,
+    make_sender,
     open_socket,
-    send_or_count,
     start_reading,
-    stop_reading,
 )
 from agatethread.timing import TimerService
 from agatethread.wire import pack_address
@@ -149,7 +149,7 @@
         self._cold = ColdLimits(settings.cold_overshoot, settings.cold_slack_per_s)
         self._socket = open_socket(settings.datagrams)
         self.sender = PacedSender(
-            send_or_count(self._socket, counters),
+            make_sender(self._socket, counters),
             settings.link_bits_per_s if policies.paces_packets else _UNPACED_BITS_PER_S,
             now_s,
             lambda delay_s, call: asyncio.get_running_loop().call_later(delay_s, call),
@@ -182,7 +182,7 @@
             self.view.update_run,
             self._on_routes,
             counters,
-            KnownEvacuations(self.view.set_evacuations),
+            ReceivedEvacuations(self.view.set_evacuations),
         )
         if settings.parts.relays_openings:
             self.forwarder.shared_placing = make_shared_placing(
@@ -209,7 +209,7 @@
             self.forwarder,
             self.view,
             self._settings.failure_domain,
-            self.subscription.live,
+            self.subscription.reachable_links,
             self._transport.send,
             self.timers.now_s,
             self.counters,
@@ -220,12 +220,12 @@
         self._transport.start(self._on_message)
         start_reading(
             self._socket,
-            drain_into(self._socket, self.forwarder.on_datagram, self.counters),
+            make_reader(self._socket, self.forwarder.on_datagram, self.counters),
         )
         self.timers.subscribe(_POLL_INTERVAL_S, self.subscription.poll)
         if self._settings.policies.asks_urgently:
             self.timers.subscribe(
-                _UNANSWERED_POLL_INTERVAL_S, self.subscription.knock_urgently
+                _UNANSWERED_POLL_INTERVAL_S, self.subscription.probe_if_unreachable
             )
         self.timers.subscribe(_CONTROL_STATE_INTERVAL_S, self._apply_control_state)
         self.timers.subscribe(_SUSPECT_CHECK_INTERVAL_S, self._reset_and_report)
@@ -242,7 +242,7 @@
 
     async def on_stop(self) -> None:
         """Close the sockets."""
-        stop_reading(self._socket)
+        close_socket(self._socket)
         self._transport.close()
 
     async def leave(self) -> None:
@@ -261,7 +261,7 @@
         self.subscription.presence = PRESENCE_LEAVING
         self.subscription.poll()
         while not departure.may_leave(
-            self.subscription.domain_view(departure.requested_s)
+            self.subscription.own_domain_view(departure.requested_s)
         ):
             await asyncio.sleep(_LEAVING_POLL_INTERVAL_S)
             self.subscription.poll()
@@ -289,12 +289,12 @@
     def _apply_control_state(self) -> None:
         self.forwarder.tick()
         self.view.update_reporting(self.subscription.is_reporting)
-        self._cold.rank = widest_rank(
-            self.subscription.live(), self._settings.failure_domain
+        self._cold.rank = most_complete_rank(
+            self.subscription.reachable_links(), self._settings.failure_domain
         )
         if self.forwarder.shared_placing:
             dispatchers = merge_dispatchers(
-                self.subscription.live(), self.timers.now_s()
+                self.subscription.reachable_links(), self.timers.now_s()
             )
             self.forwarder.shared_placing.set_dispatchers(dispatchers)
         if self._settings.policies.serves_evacuated_when_cut_off:
@@ -309,9 +309,9 @@
         ):
             return False
         links = self.subscription.links.values()
-        if not are_silent(links, domain, self.timers.now_s()):
+        if not are_other_domains_unreachable(links, domain, self.timers.now_s()):
             return False
-        return is_cut_off(links, self.subscription.live(), domain)
+        return is_cut_off(links, self.subscription.reachable_links(), domain)
 
     def _reset_and_report(self) -> None:
         self.forwarder.reset_flows_of_lost_runs()
@@ -319,7 +319,7 @@
             return
         sightings = self.forwarder.sightings()
         if sightings:
-            self.subscription.tell(sightings)
+            self.subscription.send_sightings(sightings)
 
     def _sweep(self) -> None:
         now_s = self.timers.now_s()
@@ -340,7 +340,7 @@
                 Event.READY if ready else Event.NOT_READY,
                 version=self.forwarder.table.version,
                 backends=len(self.view),
-                controls=len(self.subscription.live()),
+                controls=len(self.subscription.reachable_links()),
             )
         self.is_ready = ready
         self._update_presence()
@@ -353,16 +353,16 @@
             self.subscription.presence = presence
             self.subscription.poll()
 
-    def measures(self) -> Measures:
+    def measures(self) -> Metrics:
         """Return the metrics of this instance.
 
         Returns
         -------
-        Measures
+        Metrics
             Counters, gauges and histograms; their values are read at each export.
         """
         loads, shared = self.forwarder.loads, self.forwarder.shared_placing
-        return Measures(
+        return Metrics(
             self.counters,
             {
                 "ready": lambda: float(self.is_ready),
@@ -370,7 +370,9 @@
                 "waiting_bytes": lambda: float(self.sender.queued_bytes),
                 "backends": lambda: float(len(self.view)),
                 "routes_version": lambda: float(self.forwarder.table.version),
-                "controls_in_sight": lambda: float(len(self.subscription.live())),
+                "controls_in_sight": lambda: float(
+                    len(self.subscription.reachable_links())
+                ),
                 "control_silent_s": lambda: self.timers.now_s() - self._last_delta_s,
             }
             | (shared.gauges() if shared else {}),
--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -9,12 +9,12 @@
 
 from agatethread.entry._announcements import AnnouncementHandler
 from agatethread.entry._datagrams import DatagramRouter
-from agatethread.entry._documents import DocumentBook, DocumentWatcher
+from agatethread.entry._documents import DocumentStore, DocumentWatcher
 from agatethread.entry._dump import dump_entry
 from agatethread.entry._flows import FlowRouter
 from agatethread.entry._forwarding import FlowForwarder
 from agatethread.entry._placement import FlowPlacer
-from agatethread.entry._requests import RequestDesk
+from agatethread.entry._requests import RequestRouter
 from agatethread.membership import Member, MemberTable, Prober
 from agatethread.observability import Counters, make_logger
 from agatethread.operations import InstanceCallbacks
@@ -22,14 +22,14 @@
 from agatethread.settings import EntrySettings, Settings, parse_address
 from agatethread.sockets import (
     DatagramHandler,
-    drain_into,
+    close_socket,
+    make_reader,
+    make_sender,
     open_socket,
-    send_or_count,
     start_reading,
-    stop_reading,
 )
 from agatethread.timing import TimerService
-from agatethread.transfer import Outbox, split_datagram
+from agatethread.transfer import FragmentSender, split_datagram
 from agatethread.wire import (
     MAX_DATAGRAM_BYTES,
     NO_MEMBER,
@@ -75,8 +75,8 @@
         self.sealer = load_sealer(entry.seal_key_file)
         self._caller_socket = open_socket(entry.listen)
         self._inner_socket = open_socket(entry.inner)
-        self._send_to_caller = send_or_count(self._caller_socket, counters)
-        self._send_to_inner = send_or_count(self._inner_socket, counters)
+        self._send_to_caller = make_sender(self._caller_socket, counters)
+        self._send_to_inner = make_sender(self._inner_socket, counters)
         self._build_state(entry)
         self._build_membership_parts(entry)
         self._build_flow_parts()
@@ -105,10 +105,10 @@
         self.members = MemberTable(own_member)
         self.endpoints = EndpointTable()
         self.flows = FlowTable(entry.flow_limit_count)
-        self.document_store = DocumentBook()
+        self.document_store = DocumentStore()
         self._dispatched_services: set[str] = set()
         self._is_leaving = False
-        self._outbox = Outbox()
+        self._outbox = FragmentSender()
         self._initialized_members: set[MemberRef] = set()
 
     def _build_membership_parts(self, entry: EntrySettings) -> None:
@@ -169,14 +169,14 @@
     def _build_request_parts(self, entry: EntrySettings) -> None:
         ports = InstanceCallbacks(
             now_s=self.timers.now_s,
-            own_member=lambda: self.members.me.ref,
+            own_member=lambda: self.members.own_member.ref,
             is_alive=self.members.is_alive,
             send_peer=self.send_peer,
             send_backend=self._send_backend,
             send_caller=self._send_caller,
             fresh_token=self.fresh_token,
         )
-        self.requests = RequestDesk(
+        self.requests = RequestRouter(
             entry,
             ports,
             self.sealer,
@@ -199,22 +199,22 @@
         log.info("entry instance started", listen=self.settings.entry.listen)
 
     def _read_from(self, sock: socket, handler: DatagramHandler) -> None:
-        start_reading(sock, drain_into(sock, handler, self.counters))
+        start_reading(sock, make_reader(sock, handler, self.counters))
 
     async def _warm_up(self) -> None:
         # All backend servers announce themselves during the warm-up, before this
         # instance places its first flow.
         await self.sleep(self.settings.entry.warm_up_s)
-        if self.members.me.joining:
-            self.members.change_me(joining=False)
+        if self.members.own_member.joining:
+            self.members.update_own_state(joining=False)
 
     async def leave(self) -> None:
         """Stop gracefully: refuse queued requests and finish running operations."""
         log.info("leaving", operations=self.requests.running_count)
         self._is_leaving = True
-        self.members.change_me(state=MemberState.LEAVING)
+        self.members.update_own_state(state=MemberState.LEAVING)
         self.requests.refuse_queued()
-        self.prober.tell_all()
+        self.prober.send_own_state()
 
         started_s = self.timers.now_s()
         deadline_s = started_s + max(
@@ -232,8 +232,8 @@
 
     async def on_stop(self) -> None:
         """Close the sockets."""
-        stop_reading(self._caller_socket)
-        stop_reading(self._inner_socket)
+        close_socket(self._caller_socket)
+        close_socket(self._inner_socket)
 
     def send_peer(self, address: bytes, peer: Peer) -> None:
         """Send a sealed message to another entry instance.
@@ -245,8 +245,8 @@
         peer : Peer
             Message to send.
         """
-        peer.sender = self.members.me.address
-        peer.incarnation = self.members.me.incarnation
+        peer.sender = self.members.own_member.address
+        peer.incarnation = self.members.own_member.incarnation
         data = encode_peer(self.sealer, peer)
         self.counters["peer_bytes_sent"] += len(data)
         self._send_to_inner(data, unpack_address(address))
@@ -315,14 +315,14 @@
 
     def _apply_own_drain(self) -> None:
         drained = self.settings.name in self.document_store.drained
-        state = self.members.me.state
+        state = self.members.own_member.state
         if drained and state == MemberState.ALIVE:
-            self.members.change_me(state=MemberState.LEAVING)
+            self.members.update_own_state(state=MemberState.LEAVING)
             self.requests.refuse_queued()
-            self.prober.tell_all()
+            self.prober.send_own_state()
         elif not drained and state == MemberState.LEAVING and not self._is_leaving:
-            self.members.change_me(state=MemberState.ALIVE)
-            self.prober.tell_all()
+            self.members.update_own_state(state=MemberState.ALIVE)
+            self.prober.send_own_state()
 
     async def _initialize_member(self, member: Member) -> None:
         # Sent twice: an instance that learned of a backend server in between may not
--- a/src/agatethread/entry/_requests.py
+++ b/src/agatethread/entry/_requests.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from agatethread.entry._documents import DocumentBook
+from agatethread.entry._documents import DocumentStore
 from agatethread.entry._fragments import request_missing_fragments
 from agatethread.exceptions import DatagramError, TransferLimitError
 from agatethread.membership import MemberTable
@@ -27,16 +27,16 @@
     Relay,
     Sealer,
     Token,
-    operation_id_parts,
     parse_label,
     parse_token,
     service_hash,
+    split_operation_id,
 )
 
 _DEFAULT_DEADLINE_LIMIT_MS = 60_000
 
 
-class RequestDesk:
+class RequestRouter:
     """Routes requests and replies to the owner or standby of their operation.
 
     Parameters
@@ -51,7 +51,7 @@
         Entry instances.
     endpoints : EndpointTable
         Backend servers.
-    document_store : DocumentBook
+    document_store : DocumentStore
         Service documents.
     start_task : callable
         Runs a coroutine as a task of the instance.
@@ -66,7 +66,7 @@
         sealer: Sealer,
         members: MemberTable,
         endpoints: EndpointTable,
-        document_store: DocumentBook,
+        document_store: DocumentStore,
         start_task: Callable,
         counters: Counters,
     ):
@@ -145,7 +145,7 @@
         """
         token = self._parse_request_token(envelope)
         target = self._choose_decider(envelope, token)
-        if target == self._members.me.ref:
+        if target == self._members.own_member.ref:
             self._handle_locally(envelope, token, caller)
             return
         if target == NO_MEMBER:
@@ -166,7 +166,7 @@
         self._ports.send_caller(caller, hint.SerializeToString())
 
     def _parse_request_token(self, envelope: Envelope) -> Token:
-        sealed_token, _ = operation_id_parts(envelope.operation_id)
+        sealed_token, _ = split_operation_id(envelope.operation_id)
         token = parse_token(self._sealer, sealed_token)
         if token.service != service_hash(envelope.service):
             raise DatagramError("wrong service")
@@ -194,7 +194,7 @@
         self._handle_locally(envelope, self._parse_request_token(envelope), caller)
 
     def _handle_locally(self, envelope: Envelope, token: Token, caller: bytes) -> None:
-        own_ref = self._members.me.ref
+        own_ref = self._members.own_member.ref
         if token.owner == own_ref:
             self._handle_as_owner(envelope, token, caller)
             return
@@ -228,7 +228,7 @@
             Operation id and the missing fragments.
         """
         token = self._parse_request_token(envelope)
-        if token.owner == self._members.me.ref:
+        if token.owner == self._members.own_member.ref:
             self.owner.resend_verdict(envelope.operation_id, envelope.missing)
             return
         relay = Relay(datagram=envelope.SerializeToString())
@@ -247,7 +247,7 @@
         label = parse_label(self._sealer, envelope.return_label)
         if not isinstance(label, OperationLabel):
             raise DatagramError("wrong label")
-        if label.owner == self._members.me.ref:
+        if label.owner == self._members.own_member.ref:
             self.owner.resend_request(
                 envelope.operation_id, label.attempt, envelope.missing
             )
@@ -270,7 +270,7 @@
             Cancellation with the operation id.
         """
         token = self._parse_request_token(envelope)
-        if token.owner == self._members.me.ref:
+        if token.owner == self._members.own_member.ref:
             self.owner.on_cancel(envelope.operation_id)
             return
         relay = Relay(datagram=envelope.SerializeToString())
@@ -312,7 +312,7 @@
         if not isinstance(label, OperationLabel):
             return False
 
-        own_ref = self._members.me.ref
+        own_ref = self._members.own_member.ref
         if label.owner != own_ref and self._ports.is_alive(label.owner):
             self._relay_reply(label.owner, data, source)
         elif own_ref not in (label.owner, label.standby):
@@ -353,14 +353,14 @@
         self, label: OperationLabel, envelope: Envelope, source: bytes
     ) -> None:
         operation_id = envelope.operation_id
-        if operation_id_parts(operation_id)[1] != label.nonce:
+        if split_operation_id(operation_id)[1] != label.nonce:
             self._counters["reply_crossed"] += 1
             return
         key = (operation_id, label.attempt)
         envelope = self._assembler.add(key, source, envelope)
         if envelope is None:
             return
-        if label.owner == self._members.me.ref:
+        if label.owner == self._members.own_member.ref:
             self.owner.on_reply(operation_id, label, envelope)
         else:
             self.claims.on_reply(operation_id, label, envelope)
--- a/src/agatethread/operations/_records.py
+++ b/src/agatethread/operations/_records.py
@@ -8,7 +8,7 @@
 
 from agatethread.exceptions import AgatethreadError
 from agatethread.routing import Endpoint
-from agatethread.transfer import split
+from agatethread.transfer import split_message
 from agatethread.wire import (
     Envelope,
     Kind,
@@ -16,7 +16,7 @@
     Peer,
     Reason,
     Token,
-    operation_id_parts,
+    split_operation_id,
 )
 
 _Record = TypeVar("_Record")
@@ -249,9 +249,9 @@
         service=envelope.service,
         partner=envelope.partner,
         caller=caller,
-        datagrams=split(envelope),
+        datagrams=split_message(envelope),
         idempotent=envelope.idempotent,
         deadline_at_s=deadline_at_s,
         token=token,
-        nonce=operation_id_parts(envelope.operation_id)[1],
+        nonce=split_operation_id(envelope.operation_id)[1],
     )
--- a/src/agatethread/registry/_entries.py
+++ b/src/agatethread/registry/_entries.py
@@ -4,7 +4,7 @@
 from itertools import islice
 
 from agatethread.registry._admission import is_live
-from agatethread.registry._report import START_NOT_TOLD, Report
+from agatethread.registry._report import START_UNKNOWN, Report
 from agatethread.wire.registry_pb2 import BackendRun
 
 #: One of this many reports of a run is sent in full.
@@ -20,11 +20,17 @@
         State of the run.
     """
 
-    __slots__ = ("changed_index", "details_index", "direct_index", "heard_s", "run")
+    __slots__ = (
+        "changed_index",
+        "details_index",
+        "direct_index",
+        "last_report_s",
+        "run",
+    )
 
     def __init__(self, run: BackendRun):
         self.run = run
-        self.heard_s = 0.0
+        self.last_report_s = 0.0
         #: Index of the last change that is sent to entry instances.
         self.changed_index = 0
         #: Index of the last report received directly from the run.
@@ -83,7 +89,7 @@
         without = (
             entry
             for entry in self._by_id.values()
-            if entry.run.started_ms == START_NOT_TOLD and is_live(entry.run)
+            if entry.run.started_ms == START_UNKNOWN and is_live(entry.run)
         )
         return sum(1 for _ in islice(without, with_count)) < with_count
 
@@ -93,7 +99,7 @@
         self._by_report.pop(run.id, None)
         entry = self._by_id[run.id] = RunEntry(run)
         self._with_start_time.pop(run.id, None)
-        if run.started_ms != START_NOT_TOLD:
+        if run.started_ms != START_UNKNOWN:
             self._with_start_time[run.id] = entry
         if run.number:
             self._by_number[run.number] = entry
@@ -201,7 +207,7 @@
     if is_old or run.started_ms != started_ms:
         return False
     run.sequence = sequence
-    entry.heard_s = now_s
+    entry.last_report_s = now_s
     return True
 
 
@@ -279,5 +285,5 @@
         "draining": run.draining,
         "ended": run.ended,
         "silent": run.silent,
-        "heard_ago_s": round(now_s - entry.heard_s, 3),
+        "heard_ago_s": round(now_s - entry.last_report_s, 3),
     }
--- a/tests/control/test_routing_control.py
+++ b/tests/control/test_routing_control.py
@@ -4,7 +4,7 @@
 import unittest
 from pathlib import Path
 
-from agatethread.control import RoutingControl, RoutingControlSettings
+from agatethread.control import RoutingControlInstance, RoutingControlSettings
 from agatethread.control._members import voter_names
 from agatethread.control._storage import HEADER_BYTES
 from agatethread.exceptions import (
@@ -46,7 +46,7 @@
 
     async def start(self, number, is_first_start=False):
         host = self.host(number)
-        control = RoutingControl(
+        control = RoutingControlInstance(
             RoutingControlSettings(
                 name=f"control-{number}",
                 failure_domain=f"domain-{number}",
@@ -146,7 +146,7 @@
         return views.pop() if len(views) == 1 else None
 
 
-class TestRoutingControl(unittest.IsolatedAsyncioTestCase):
+class TestRoutingControlInstance(unittest.IsolatedAsyncioTestCase):
     async def start_fleet(self, count=3):
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
@@ -237,14 +237,14 @@
         await fleet.put(document(3))
         report = Report("i-1", 1, "tab", address(1), "domain-0", 2, 1)
         await fleet.running[0].report(report)
-        await fleet.until(lambda: fleet.running[1].runs.find("i-1") is not None)
+        await fleet.until(lambda: fleet.running[1].runs.get("i-1") is not None)
         await asyncio.sleep(0.8)
         for number in range(3):
             await fleet.kill(number)
         for number in range(3):
             await fleet.start(number)
         self.assertEqual(await fleet.read(), b"3")
-        self.assertIsNotNone(fleet.running[1].runs.find("i-1"))
+        self.assertIsNotNone(fleet.running[1].runs.get("i-1"))
 
     async def test_keeps_evacuation_after_disk_loss_and_restart_of_all(self):
         """An acknowledged evacuation survives each loss that must be tolerated."""
@@ -257,7 +257,7 @@
         leader = next(
             number
             for number, control in fleet.running.items()
-            if not control.orders.leader_api()
+            if not control.orders.get_leader_api()
         )
         await fleet.kill(leader)
         fleet.lose_disk(leader)
--- a/tests/control/test_watchers.py
+++ b/tests/control/test_watch_server.py
@@ -4,9 +4,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from agatethread.control import DocumentState
-from agatethread.control._watchers import WatchServer
-from agatethread.entry._documents import DocumentBook
+from agatethread.control import ReplicatedState
+from agatethread.control._watch_server import WatchServer
+from agatethread.entry._documents import DocumentStore
 from agatethread.wire.control_pb2 import Command, PutDocument, WatchRequest
 from benchmarks.virtual_time import VirtualLoop
 
@@ -19,9 +19,9 @@
     """A control instance and a watcher that reads when the test asks for it."""
 
     def __init__(self):
-        self.state = DocumentState()
+        self.state = ReplicatedState()
         self.watch_server = WatchServer(self.state)
-        self.book = DocumentBook()
+        self.book = DocumentStore()
         self.stream = self.watch_server.serve(self.requests(), None)
 
     async def requests(self):
@@ -39,7 +39,7 @@
         self.watch_server.wake()
 
     async def read(self):
-        self.book.take(await anext(self.stream))
+        self.book.apply_update(await anext(self.stream))
 
     def received(self):
         return {
@@ -67,7 +67,7 @@
         return runner.run(main())
 
 
-class TestWatchHub(unittest.TestCase):
+class TestWatchServer(unittest.TestCase):
     def test_sends_change_made_during_update(self):
         """A document committed between two reads of updates is in the second one."""
         received_versions, committed = run_steps(["tab", "read", "receipts"])
--- a/tests/datapath/test_answer_reports.py
+++ b/tests/datapath/test_answer_reports.py
@@ -2,11 +2,11 @@
 import tempfile
 import unittest
 
-from agatethread.control import RoutingControl, RoutingControlSettings
+from agatethread.control import RoutingControlInstance, RoutingControlSettings
 from agatethread.datapath import LabelEntryInstance, LabelEntrySettings
 from agatethread.datapath._answer_reports import AnswerReporter
 from agatethread.observability import Counters
-from agatethread.registry import HubLink, Report
+from agatethread.registry import ControlLink, Report
 from agatethread.settings import Parts
 from agatethread.wire import pack_address
 from agatethread.wire.control_pb2 import ControlMember
@@ -23,7 +23,7 @@
         for nth in (1, 2):
             self.view.update_run(run(nth))
         self.sent_messages = []
-        self.links = [HubLink(SECOND, "b"), HubLink(FIRST, "a")]
+        self.links = [ControlLink(SECOND, "b"), ControlLink(FIRST, "a")]
         self.reporter = AnswerReporter(
             self.forwarder,
             self.view,
@@ -124,7 +124,7 @@
             data_dir=self.folder.name,
             **fields,
         )
-        return RoutingControl(settings, Counters())
+        return RoutingControlInstance(settings, Counters())
 
     def setUp(self):
         self.folder = tempfile.TemporaryDirectory()
--- a/tests/datapath/test_policies.py
+++ b/tests/datapath/test_policies.py
@@ -181,7 +181,7 @@
         for name, is_reported in (("shares_sightings", False), ("keeps_hints", True)):
             entry = await self.start(name)
             reports = []
-            entry.subscription.tell = reports.append
+            entry.subscription.send_sightings = reports.append
             backend = Backend(run(1))
             entry.forwarder.sightings = lambda sighting=backend: [sighting]
             entry._reset_and_report()
@@ -206,4 +206,6 @@
                 await entry.start()
             calls = [call.args[1] for call in subscribe.call_args_list]
             with self.subTest(off=name):
-                self.assertEqual(entry.subscription.knock_urgently in calls, is_urgent)
+                self.assertEqual(
+                    entry.subscription.probe_if_unreachable in calls, is_urgent
+                )
