--- a/tests/platform/__init__.py
+++ b/tests/platform/__init__.py
@@ -1,5 +1,5 @@
 import sys
 from pathlib import Path
 
-# The adapter is no part of the installed package.
+# The adapter is not part of the installed package.
 sys.path.insert(0, str(Path(__file__).parents[2] / "platform"))
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -3,11 +3,11 @@
 import unittest
 
 from agatethread_platform.bodies import (
-    LONGEST_REPORT_BYTES,
+    MAX_REPORT_BYTES,
     decode_configuration,
-    decode_end,
     decode_report,
-    run_number,
+    decode_run_end,
+    parse_run_number,
 )
 from hypothesis import given
 from hypothesis import strategies as st
@@ -62,8 +62,8 @@
 }
 
 
-def changed(base, path, value):
-    """A copy of a body with one value replaced."""
+def with_value(base, path, value):
+    """Return an encoded copy of a body with one value replaced."""
     body = copy.deepcopy(base)
     part = body
     for key in path[:-1]:
@@ -73,28 +73,28 @@
 
 
 class TestConfiguration(unittest.TestCase):
-    def test_what_cold_servers_bear_is_read(self):
-        """A service that does not tell it has no limit; 0 is one."""
+    def test_decodes_rate_limits_of_cold_servers(self):
+        """A service without the field has no limit; 0 is a limit."""
         services = [{"name": "tab", "warmup_per_s": 0}, {"name": "archive"}]
-        body = changed(CONFIGURATION, ["services"], services)
+        body = with_value(CONFIGURATION, ["services"], services)
         limits = decode_configuration(body).cold_limits
         self.assertEqual(limits, (ColdLimit("tab", 0.0),))
         for value in (-1, "20", None):
             with self.subTest(value=value), self.assertRaises(DocumentError):
                 services[0]["warmup_per_s"] = value
-                decode_configuration(changed(CONFIGURATION, ["services"], services))
+                decode_configuration(with_value(CONFIGURATION, ["services"], services))
 
-    def test_what_callers_want_is_read(self):
-        """Urgency and aim, where the body tells them; any priority is taken."""
+    def test_decodes_urgency_and_target_latency(self):
+        """Both are optional; any non-negative priority is accepted."""
         first, second = decode_configuration(json.dumps(CONFIGURATION).encode()).rules
         self.assertEqual((first.urgency, first.aim_ms), (1, 150))
         self.assertEqual((second.urgency, second.aim_ms), (URGENCY_NOT_TOLD, 0))
         path = ("routes", 0, "priority")
-        lowest = decode_configuration(changed(CONFIGURATION, path, 1 << 40)).rules[0]
+        lowest = decode_configuration(with_value(CONFIGURATION, path, 1 << 40)).rules[0]
         self.assertEqual(lowest.urgency, LOWEST_URGENCY)
 
-    def test_routes_are_read(self):
-        """Hosts, ports, services and weights are read from the platform's names."""
+    def test_decodes_routes(self):
+        """Hosts, ports, services and weights are decoded from the platform's fields."""
         document = decode_configuration(json.dumps(CONFIGURATION).encode())
         check_document(document)
         single, split = document.rules
@@ -102,8 +102,8 @@
         self.assertEqual(single.targets, (Target("tab", 1),))
         self.assertEqual(split.targets, (Target("tab", 90), Target("archive", 10)))
 
-    def test_bad_bodies_are_refused(self):
-        """What can't be read in full is refused with the fields at fault."""
+    def test_rejects_invalid_configurations(self):
+        """A configuration with any invalid part raises a typed error."""
         whole = json.dumps(CONFIGURATION).encode()
         bad = (
             whole[: len(whole) // 2],
@@ -111,14 +111,14 @@
             b"[]",
             b"\xff\xfe",
             b"[" * 100_000,
-            changed(CONFIGURATION, ["version"], "7"),
-            changed(CONFIGURATION, ["version"], 0),
-            changed(CONFIGURATION, ["version"], True),
-            changed(CONFIGURATION, ["routes"], None),
-            changed(CONFIGURATION, ["routes", 0, "host"], "tab.example"),
-            changed(CONFIGURATION, ["routes", 0, "path_prefix"], "/"),
-            changed(CONFIGURATION, ["routes", 0, "path_prefix"], "/70000/"),
-            changed(CONFIGURATION, ["routes", 1, "backends", 0, "weight"], "x"),
+            with_value(CONFIGURATION, ["version"], "7"),
+            with_value(CONFIGURATION, ["version"], 0),
+            with_value(CONFIGURATION, ["version"], True),
+            with_value(CONFIGURATION, ["routes"], None),
+            with_value(CONFIGURATION, ["routes", 0, "host"], "tab.example"),
+            with_value(CONFIGURATION, ["routes", 0, "path_prefix"], "/"),
+            with_value(CONFIGURATION, ["routes", 0, "path_prefix"], "/70000/"),
+            with_value(CONFIGURATION, ["routes", 1, "backends", 0, "weight"], "x"),
             b'{"version": 8, "services": []}',
         )
         for body in bad:
@@ -126,8 +126,8 @@
                 decode_configuration(body)
 
     @given(st.binary(max_size=300))
-    def test_any_bytes_are_read_or_refused(self, body):
-        """Bytes of any kind give a document or a typed error."""
+    def test_decodes_or_rejects_any_bytes(self, body):
+        """Any bytes give a document or a typed error."""
         try:
             decode_configuration(body)
         except DocumentError:
@@ -145,8 +145,8 @@
             max_leaves=12,
         )
     )
-    def test_any_json_is_read_or_refused(self, value):
-        """JSON of any shape gives a document or a typed error."""
+    def test_decodes_or_rejects_any_json(self, value):
+        """Any JSON value gives a document or a typed error."""
         try:
             decode_configuration(json.dumps(value).encode())
         except DocumentError:
@@ -154,49 +154,49 @@
 
 
 class TestReport(unittest.TestCase):
-    def test_report_is_read(self):
-        """A report is read under the project's names."""
+    def test_decodes_report(self):
+        """The fields of a report are decoded into a `Report`."""
         report = decode_report("i-7f3a91c2", json.dumps(REPORT).encode())
         self.assertEqual((report.number, report.slots), (0x7F3A91C2, 2))
         self.assertEqual((report.warm_up_s, report.draining), (1.5, False))
-        draining = changed(REPORT, ["state"], "draining")
+        draining = with_value(REPORT, ["state"], "draining")
         self.assertTrue(decode_report("i-1", draining).draining)
 
-    def test_bad_reports_are_refused(self):
-        """Wrong types, addresses and ids are refused with a typed error."""
+    def test_rejects_invalid_reports(self):
+        """Wrong types and addresses raise a typed error."""
         for path, value in (
             (["address"], "nowhere"),
             (["address"], "10.0.0.1:99999"),
             (["sequence"], "4"),
             (["capacity"], None),
         ):
-            body = changed(REPORT, path, value)
+            body = with_value(REPORT, path, value)
             with self.subTest(path=path):
                 with self.assertRaises((DocumentError, FieldError)):
                     decode_report("i-1", body)
 
-    def test_start_time_is_read(self):
-        """The time of the start comes with reports and may come with the end."""
+    def test_decodes_start_time(self):
+        """The start time is optional in reports and in calls that end a run."""
         body = json.dumps(REPORT | {"born": 1_796_000_000_123}).encode()
         self.assertEqual(decode_report("i-1", body).started_ms, 1_796_000_000_123)
         self.assertEqual(
             decode_report("i-1", json.dumps(REPORT).encode()).started_ms, 0
         )
-        self.assertEqual(decode_end("i-1", b'{"born": 17}'), 17)
-        self.assertEqual(decode_end("i-1", b""), 0)
+        self.assertEqual(decode_run_end("i-1", b'{"born": 17}'), 17)
+        self.assertEqual(decode_run_end("i-1", b""), 0)
 
-    def test_report_that_lacks_a_field_is_refused(self):
-        """Every server tells all that the protocol's page lists, whatever it lacks."""
+    def test_rejects_report_without_a_required_field(self):
+        """Each field of the report format is required."""
         for name in REPORT:
             body = json.dumps({key: REPORT[key] for key in REPORT if key != name})
             with self.subTest(lacks=name), self.assertRaises(DocumentError):
                 decode_report("i-1", body.encode())
 
-    def test_values_that_no_server_sends_are_refused(self):
-        """Each field of a foreign type, range or form is a typed error."""
+    def test_rejects_values_out_of_range_or_of_wrong_type(self):
+        """A field of a wrong type, range or format raises a typed error."""
         numbers = ("4", True, None, [4], {}, -1, 1e400, float("nan"), 10**400, 0.5)
         texts = (7, True, None, ["ready"], {}, "", "x" * 5_000, "\ud800")
-        foreign = {
+        invalid_values = {
             "capacity": (*numbers, 0, 1 << 32),
             "sequence": (*numbers, 1 << 64),
             "warmup_remaining_ms": ("4", True, None, [4], -1, float("nan"), 1e400),
@@ -213,15 +213,15 @@
                 "10.0.0.1:\u0664",
             ),
         }
-        for name, values in foreign.items():
+        for name, values in invalid_values.items():
             for value in values:
                 with self.subTest(field=name, value=str(value)[:30]):
                     body = json.dumps(REPORT | {name: value}).encode()
                     with self.assertRaises((DocumentError, FieldError)):
                         decode_report("i-1", body)
 
-    def test_bytes_that_no_server_sends_are_refused(self):
-        """What can't be read, is nested too deep or far too long is a typed error."""
+    def test_rejects_malformed_or_oversized_bodies(self):
+        """Malformed, deeply nested and oversized bodies raise a typed error."""
         deep = json.dumps(REPORT)[:-1].encode() + b',"x":' + b"[" * 9_000 + b"]" * 9_000
         for body in (
             b"",
@@ -231,21 +231,21 @@
             b'{"service": "tab"',
             json.dumps(REPORT).encode("utf-16"),
             deep + b"}",
-            b"[" * LONGEST_REPORT_BYTES,
-            json.dumps(REPORT | {"x": "x" * LONGEST_REPORT_BYTES}).encode(),
+            b"[" * MAX_REPORT_BYTES,
+            json.dumps(REPORT | {"x": "x" * MAX_REPORT_BYTES}).encode(),
         ):
             with self.subTest(body=body[:30]):
                 with self.assertRaises((DocumentError, FieldError)):
                     decode_report("i-1", body)
 
-    def test_ids_without_plain_hexadecimal_digits_are_refused(self):
-        """Python reads more as numbers than datagrams can name."""
+    def test_rejects_ids_without_plain_hexadecimal_digits(self):
+        """Other spellings that `int` accepts are rejected."""
         for run_id in (
             *("", "i-", "i-0", "i-xyz", "i-0x1f", "i-1_0", "i- 1f", "i-1f ", "i-+1"),
             *("i-\u0661", "i-1/2", "i-%31", "i-" + "f" * 17, "i" * 80 + "-1"),
         ):
             with self.subTest(run_id=run_id), self.assertRaises(FieldError):
-                run_number(run_id)
+                parse_run_number(run_id)
 
     @given(
         st.dictionaries(
@@ -259,13 +259,13 @@
             | st.sampled_from(("ready", "draining", "10.0.0.1:80")),
         )
     )
-    def test_any_fields_give_a_report_in_range_or_an_error(self, fields):
-        """What is read fits the registry's messages and is what was sent."""
+    def test_decodes_report_within_limits_or_rejects_it(self, fields):
+        """A decoded report fits the registry's messages and holds the sent values."""
         try:
             report = decode_report("i-1", json.dumps(REPORT | fields).encode())
         except (DocumentError, FieldError):
             return
-        told = BackendRun(
+        message = BackendRun(
             service=report.service,
             failure_domain=report.failure_domain,
             slots=report.slots,
@@ -273,15 +273,15 @@
             warm_up_ms=int(report.warm_up_s * 1000),
             started_ms=report.started_ms,
         )
-        self.assertEqual(told.slots, fields.get("capacity", REPORT["capacity"]))
-        self.assertEqual(told.started_ms, fields.get("born", 0))
+        self.assertEqual(message.slots, fields.get("capacity", REPORT["capacity"]))
+        self.assertEqual(message.started_ms, fields.get("born", 0))
         self.assertIn(fields.get("state", "ready"), ("ready", "draining"))
 
     @given(st.text(max_size=30))
-    def test_any_id_gives_a_number_or_an_error(self, run_id):
-        """Every id is a number of 64 bits, or refused."""
+    def test_parses_or_rejects_any_id(self, run_id):
+        """Any id gives a non-zero number of 64 bits or a typed error."""
         try:
-            number = run_number(run_id)
+            number = parse_run_number(run_id)
         except FieldError:
             return
         self.assertTrue(0 < number < 1 << 64)
--- a/tests/platform/test_daemon.py
+++ b/tests/platform/test_daemon.py
@@ -14,7 +14,7 @@
 
 
 def start(settings_path):
-    """Start an entry process as the platform does."""
+    """Start an entry process the way the platform does."""
     path = os.pathsep.join((str(ROOT / "platform"), str(ROOT / "src")))
     environment = os.environ | {
         "AGATETHREAD_SETTINGS": str(settings_path),
@@ -48,8 +48,8 @@
         self.addCleanup(process.kill)
         return process
 
-    def test_stop_while_it_loads_is_a_clean_end(self):
-        """SIGTERM before it serves ends it with 0, too."""
+    def test_exits_cleanly_on_sigterm_during_imports(self):
+        """SIGTERM before the process serves gives exit code 0."""
         code = (
             "import os, runpy, sys, time, types\n"
             "daemon = types.ModuleType('agatethread_platform.daemon')\n"
@@ -57,23 +57,23 @@
             "sys.modules[daemon.__name__] = daemon\n"
             "runpy.run_module('agatethread_platform', run_name='__main__')\n"
         )
-        found = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", code],
             env=os.environ | {"PYTHONPATH": str(ROOT / "platform")},
             timeout=LIMIT_S,
             check=False,
         )
-        self.assertEqual(found.returncode, 0)
+        self.assertEqual(result.returncode, 0)
 
-    def test_starts_without_what_it_uses_later_or_never(self):
-        """What is slow to load is not loaded before the first packet is served."""
+    def test_start_does_not_import_slow_modules(self):
+        """Modules that are slow to import are imported on first use."""
         code = (
             "import sys, agatethread_platform.daemon, agatethread_platform.entry, "
             "agatethread_platform.control; "
             "print(*{'cattrs', 'json5', 'grpc', 'opentelemetry'} & set(sys.modules))"
         )
         path = os.pathsep.join((str(ROOT / "platform"), str(ROOT / "src")))
-        found = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", code],
             env=os.environ | {"PYTHONPATH": path},
             capture_output=True,
@@ -81,17 +81,17 @@
             timeout=LIMIT_S,
             check=True,
         )
-        self.assertEqual(found.stdout.split(), [])
+        self.assertEqual(result.stdout.split(), [])
 
     def read_until(self, process, event):
-        """Read log lines until one holds an event."""
+        """Read log lines until one contains an event."""
         for line in process.stdout:
             if event in line:
                 return line
         raise AssertionError(f"ended without {event!r}")
 
-    def test_survives_signals_and_bad_settings_and_stops_cleanly(self):
-        """SIGHUP and unreadable settings leave it up; SIGTERM ends it with 0."""
+    def test_survives_sighup_and_invalid_settings(self):
+        """The process keeps running, and SIGTERM then gives exit code 0."""
         process = self.start()
         self.read_until(process, '"started"')
         process.send_signal(signal.SIGHUP)
@@ -102,8 +102,8 @@
         self.read_until(process, '"stopped"')
         self.assertEqual(process.wait(LIMIT_S), 0)
 
-    def test_wrong_settings_end_it_with_the_faults(self):
-        """Settings that are wrong from the start are named, and the exit code is 2."""
+    def test_exits_with_errors_of_invalid_settings(self):
+        """Invalid settings at the start are printed; the exit code is 2."""
         self.path.write_text("zone=a")
         process = self.start()
         output, _ = process.communicate(timeout=LIMIT_S)
--- a/tests/platform/test_roles.py
+++ b/tests/platform/test_roles.py
@@ -12,15 +12,15 @@
 from agatethread_platform.settings import PlatformSettings
 
 from tests.fakes import free_port, own_host
-from tests.platform.test_bodies import CONFIGURATION, REPORT, changed
+from tests.platform.test_bodies import CONFIGURATION, REPORT, with_value
 from tests.platform.test_packets import SYN, datagram
 
-#: Metrics have a port of their own at the host's address.
+#: Two addresses, because all processes serve metrics at the same port.
 HOST, ENTRY_HOST = own_host(1), own_host(2)
 
 
 def call(address, method, path, body=b""):
-    """Make one call; return the status, the body and the location."""
+    """Send a request; return the status, the body and the location."""
     connection = http.client.HTTPConnection(address, timeout=5)
     try:
         connection.request(method, path, body)
@@ -31,12 +31,12 @@
 
 
 def free_ports():
-    """Two neighbouring ports, for the registry and the log."""
+    """Return two free ports, for the registry and the log."""
     return free_port(), free_port()
 
 
 def make_settings(folder, **fields):
-    """Settings of one process on the loopback."""
+    """Return the settings of a process on the loopback interface."""
     registry_port, log_port = free_ports()
     api = f"{HOST}:{free_port()}"
     values = {
@@ -73,58 +73,58 @@
         return await asyncio.to_thread(call, self.settings.api, *arguments)
 
     async def call_until(self, status, *arguments):
-        """Repeat a call until it has a status, as operators do."""
+        """Retry a call until the response has a status."""
         for _ in range(100):
-            found = await self.call(*arguments)
-            if found[0] == status:
-                return found
+            response = await self.call(*arguments)
+            if response[0] == status:
+                return response
             await asyncio.sleep(0.05)
-        self.fail(f"{arguments[:2]} still gives {found}")
+        self.fail(f"{arguments[:2]} still gives {response}")
 
     async def put(self, body, status=200):
         return await self.call_until(status, "PUT", "/api/config", body)
 
-    async def test_configuration_is_kept_and_read_back(self):
-        """What was acknowledged is read back as it was sent; the highest one wins."""
+    async def test_stores_configuration_with_highest_version(self):
+        """The stored configuration is returned byte for byte as it was sent."""
         body = json.dumps(CONFIGURATION).encode()
         await self.put(body)
-        older = changed(CONFIGURATION, ["version"], 3)
+        older = with_value(CONFIGURATION, ["version"], 3)
         await self.put(older)
-        other = changed(CONFIGURATION, ["routes", 0, "timeout_ms"], 99)
+        other = with_value(CONFIGURATION, ["routes", 0, "timeout_ms"], 99)
         await self.put(other)
-        _, found, _ = await self.call_until(200, "GET", "/api/config")
-        self.assertEqual(found, body)
+        _, stored_body, _ = await self.call_until(200, "GET", "/api/config")
+        self.assertEqual(stored_body, body)
 
-    async def test_bad_calls_are_refused_and_lose_nothing(self):
-        """Invalid configurations and reports get a 4xx, and service goes on."""
+    async def test_rejects_invalid_calls_without_losing_state(self):
+        """Invalid configurations and reports get a 4xx; the state is unchanged."""
         await self.put(json.dumps(CONFIGURATION).encode())
-        bad = (
+        invalid = (
             ("PUT", "/api/config", b'{"version": 9'),
-            ("PUT", "/api/config", changed(CONFIGURATION, ["services"], [])),
+            ("PUT", "/api/config", with_value(CONFIGURATION, ["services"], [])),
             ("PUT", "/api/config", b"[" * 100_000),
             ("PUT", "/api/endpoints/x", json.dumps(REPORT).encode()),
             ("PUT", "/api/endpoints/i-1", b"{}"),
             ("GET", "/api/else", b""),
         )
-        for arguments in bad:
+        for arguments in invalid:
             with self.subTest(arguments=arguments[:2]):
                 status, _, _ = await self.call(*arguments)
                 self.assertTrue(400 <= status < 500, status)
         status, _, _ = await self.call("PUT", "/api/config", b"x" * (5 << 20))
         self.assertEqual(status, 413)
-        _, found, _ = await self.call_until(200, "GET", "/api/config")
-        self.assertEqual(json.loads(found)["version"], 7)
+        _, stored_body, _ = await self.call_until(200, "GET", "/api/config")
+        self.assertEqual(json.loads(stored_body)["version"], 7)
 
-    async def test_failure_domain_is_evacuated_and_readmitted(self):
-        """Both orders are idempotent, and need no server there nor a configuration."""
+    async def test_evacuates_and_readmits_failure_domain(self):
+        """Both calls are idempotent and need no server or configuration."""
         for method, evacuated in (("POST", ["hall-b"]), ("DELETE", [])):
             for _ in range(2):
                 await self.call_until(200, method, "/api/evacuation/hall%2Db")
-                known = self.control.instance.node.documents.evacuations
-                self.assertEqual(list(known.failure_domains), evacuated)
+                evacuations = self.control.instance.node.documents.evacuations
+                self.assertEqual(list(evacuations.failure_domains), evacuated)
 
-    async def test_bad_evacuation_orders_are_refused(self):
-        """Only what can never succeed ends an operator's call at once."""
+    async def test_rejects_invalid_evacuations(self):
+        """Invalid names get a 400, too many evacuations a retryable 429."""
         await self.call_until(200, "POST", "/api/evacuation/hall-0")
         for path in ("", "a/b", "%20", "%ff", "x" * 300):
             answer = await self.call("POST", f"/api/evacuation/{path}")
@@ -141,12 +141,12 @@
         body = json.dumps(REPORT | fields).encode()
         return (await self.call("PUT", f"/api/endpoints/{run_id}", body))[0]
 
-    async def test_reports_of_another_writer_take_no_server_out(self):
-        """A foreign report gets a 4xx with a reason, and the good run goes on."""
+    async def test_rejects_conflicting_reports(self):
+        """A report from another sender gets a 4xx and does not change the run."""
         await self.put(json.dumps(CONFIGURATION).encode())
         self.assertEqual(await self.report(born=1_000), 200)
         before = self.control.instance.runs.snapshot()
-        foreign = (
+        conflicting = (
             {"state": "gone", "born": 1_000, "sequence": 9},
             {"state": ["draining"], "born": 1_000, "sequence": 9},
             {"state": "draining", "sequence": 9},
@@ -156,7 +156,7 @@
             {"sequence": 10**30, "born": 1_000},
             {"capacity": float("nan"), "born": 1_000, "sequence": 9},
         )
-        for fields in foreign:
+        for fields in conflicting:
             with self.subTest(fields=fields):
                 self.assertIn(await self.report(**fields), (400, 409))
         self.assertEqual(await self.report("x-7f", born=2_000), 409)
@@ -167,8 +167,8 @@
         self.assertEqual(self.control.instance.runs.snapshot(), before)
         self.assertEqual(await self.report(born=1_000, sequence=5), 200)
 
-    async def test_server_starts_again_under_its_id(self):
-        """A later start is taken at once, and ends by its own word."""
+    async def test_accepts_restart_with_same_id(self):
+        """A later start replaces the run; reports of the earlier start are ignored."""
         self.assertEqual(await self.report(born=1_000, sequence=50), 200)
         self.assertEqual(await self.report(born=2_000, sequence=1), 200)
         late = await self.report(born=1_000, sequence=51, state="draining")
@@ -179,8 +179,8 @@
         await self.call_until(200, "DELETE", "/api/endpoints/i-7f")
         self.assertTrue(self.control.instance.runs.find("i-7f").ended)
 
-    async def test_header_without_an_end_is_cut_off(self):
-        """A caller that never ends its header gets an error and no memory."""
+    async def test_rejects_endless_header(self):
+        """Bounds the memory that an unfinished header can use."""
         host, port = self.settings.api.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"GET /api/config HTTP/1.1\r\n" + b"X: y\r\n" * 20_000)
@@ -188,20 +188,20 @@
         self.assertTrue(answer.startswith(b"HTTP/1.1 4"), answer)
         writer.close()
 
-    async def test_packet_goes_from_caller_to_backend_server(self):
-        """The whole path: a configuration, a report, a packet, an end."""
+    async def test_forwards_packet_from_caller_to_backend_server(self):
+        """A configuration and a report are enough to forward an opening."""
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as backend:
             backend.bind(("127.0.0.1", 0))
             backend.setblocking(False)
             await self.put(json.dumps(CONFIGURATION).encode())
             entry = await self.start_entry()
-            place = f"127.0.0.1:{backend.getsockname()[1]}"
-            report = changed(REPORT, ["address"], place)
+            address = f"127.0.0.1:{backend.getsockname()[1]}"
+            report = with_value(REPORT, ["address"], address)
             await self.call_until(200, "PUT", "/api/endpoints/i-7f", report)
             await self.wait_ready(entry)
-            got = await self.send_opening(entry, backend)
-            self.assertEqual(got[:8], (0x7F).to_bytes(8, "big"))
-            self.assertEqual(got[12:], datagram(SYN, dport=8080)[4:])
+            received = await self.send_opening(entry, backend)
+            self.assertEqual(received[:8], (0x7F).to_bytes(8, "big"))
+            self.assertEqual(received[12:], datagram(SYN, dport=8080)[4:])
 
     async def start_entry(self):
         entry_settings = make_settings(
@@ -219,8 +219,8 @@
         return entry
 
     async def wait_ready(self, entry):
-        until_s = time.monotonic() + 8
-        while time.monotonic() < until_s:
+        deadline_s = time.monotonic() + 8
+        while time.monotonic() < deadline_s:
             status, _, _ = await asyncio.to_thread(
                 call, self.readiness, "GET", "/api/readyz"
             )
@@ -238,8 +238,8 @@
 
 
 class TestHttpServer(unittest.IsolatedAsyncioTestCase):
-    async def test_fault_of_a_handler_is_answered(self):
-        """An unexpected fault gives a 500, and the next call is served."""
+    async def test_answers_500_if_handler_raises(self):
+        """The next request is served after an unexpected exception."""
         answers = iter((ValueError("fault"), None))
 
         async def handle(request):
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -6,7 +6,7 @@
 from unittest import mock
 
 import agatethread_platform
-from agatethread_platform.settings import SettingsWatch, parse_platform_settings
+from agatethread_platform.settings import SettingsWatcher, parse_platform_settings
 
 from agatethread.exceptions import SettingsError
 from agatethread.settings import Parts, Policies
@@ -27,8 +27,8 @@
 
 
 class TestSettings(unittest.TestCase):
-    def test_settings_are_read(self):
-        """Lines are read into the project's names and units."""
+    def test_parses_settings(self):
+        """Values are converted to the fields and units of `PlatformSettings`."""
         settings = parse_platform_settings("file", TEXT)
         self.assertEqual(settings.name, "edge-1")
         self.assertEqual(settings.seeds, ("10.1.0.12:8166", "10.2.0.43:8166"))
@@ -36,9 +36,9 @@
         self.assertEqual(settings.report_interval_s, 1.2)
         self.assertEqual((settings.is_first_start, settings.losses_borne), (True, 2))
 
-    def test_matters_that_are_open_call_for_parts(self):
-        """Each part is on only where the platform names its matter."""
-        called_for = {
+    def test_invariants_enable_parts(self):
+        """A part is enabled only if the platform lists its invariant."""
+        expected_parts = {
             "base,drain": Parts(),
             "base,pressure": Parts(relays_openings=True),
             "health, flows": Parts(judges_answers=True),
@@ -46,15 +46,15 @@
             "pressures": Parts(),
         }
         self.assertEqual(parse_platform_settings("file", TEXT).parts, Parts())
-        for matters, parts in called_for.items():
-            with self.subTest(matters=matters):
+        for invariants, parts in expected_parts.items():
+            with self.subTest(invariants=invariants):
                 settings = parse_platform_settings(
-                    "file", f"{TEXT}invariants={matters}\n"
+                    "file", f"{TEXT}invariants={invariants}\n"
                 )
                 self.assertEqual(settings.parts, parts)
 
-    def test_every_fault_is_named(self):
-        """Missing and wrong fields are named together."""
+    def test_reports_all_errors(self):
+        """Missing and invalid fields are reported together."""
         text = TEXT.replace("node_name=edge-1", "").replace("7720,7735", "x")
         text = text.replace("machines=2", "machines=two")
         with self.assertRaises(SettingsError) as caught:
@@ -65,8 +65,8 @@
             ["fault_tolerance.machines", "internal_port_range", "node_name"],
         )
 
-    def test_policies_are_read_from_a_file_of_their_own(self):
-        """The defaults hold without one; a wrong one is a fault like any other."""
+    def test_reads_policies_from_separate_file(self):
+        """The defaults apply without a file; an invalid file raises an error."""
         self.assertEqual(parse_platform_settings("file", TEXT).policies, Policies())
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "policies.json5"
@@ -79,27 +79,27 @@
                 with self.assertRaises(SettingsError):
                     parse_platform_settings("file", TEXT)
 
-    def test_folder_does_not_shadow_the_standard_module(self):
-        """The folder's name hides neither its package nor Python's own module."""
+    def test_folder_does_not_shadow_standard_module(self):
+        """The folder ``platform`` hides neither its package nor the standard module."""
         self.assertTrue(platform.system())
         self.assertTrue(agatethread_platform.__doc__)
 
-    def test_change_is_read_and_a_bad_one_passed_over(self):
-        """New seeds are taken without a restart; unreadable settings change nothing."""
+    def test_applies_valid_changes_and_ignores_invalid_ones(self):
+        """New seeds apply without a restart; invalid settings change nothing."""
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "settings.conf"
             path.write_text(TEXT)
-            seen = []
-            watch = SettingsWatch(path, seen.append)
-            watch.read()
-            for bad in ("nonsense", TEXT.replace("7720,7735", "x")):
-                path.write_text(bad)
-                watch.read()
+            changes = []
+            watcher = SettingsWatcher(path, changes.append)
+            watcher.read()
+            for invalid in ("nonsense", TEXT.replace("7720,7735", "x")):
+                path.write_text(invalid)
+                watcher.read()
             path.write_bytes(b"\xff\xfe")
-            watch.read()
+            watcher.read()
             path.unlink()
-            watch.read()
-            self.assertEqual(seen, [])
+            watcher.read()
+            self.assertEqual(changes, [])
             path.write_text(TEXT.replace("10.1.0.12", "10.9.0.1"))
-            watch.read()
-        self.assertEqual(seen[0].seeds[0], "10.9.0.1:8166")
+            watcher.read()
+        self.assertEqual(changes[0].seeds[0], "10.9.0.1:8166")
