--- a/soak/__init__.py
+++ b/soak/__init__.py
@@ -1,6 +1,6 @@
-"""Randomized faults against the real programs, as separate processes on one machine.
+"""Soak test: random faults against the real programs as processes on one machine.
 
-Everything happens from outside: signals, a loopback proxy between the instances, limits
-on what their disks take, and folders that are gone. What is checked is what callers,
-backend servers and operators see.
+Faults are injected from outside with signals, a loopback proxy between the instances,
+file size limits and deleted directories. The checks use only what callers, backend
+servers and operators can observe.
 """
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -1,4 +1,4 @@
-"""A backend server of the platform: it reports, takes flows, ends in many ways."""
+"""Simulates a backend server: sends status reports, serves flows, stops or crashes."""
 
 import asyncio
 import secrets
@@ -8,7 +8,7 @@
 from agatethread.settings import parse_address
 from soak.addresses import Addresses
 from soak.fleet import REPORT_INTERVAL_S
-from soak.promises import Promises
+from soak.promises import PromiseMonitor
 from soak.wire import (
     ACK,
     FIN,
@@ -18,37 +18,37 @@
     call,
     decode_for_run,
     encode,
-    to_json,
+    encode_json,
 )
 
-#: A drain is acknowledged; from then on so long at most new flows may still come.
-DRAIN_BOUND_S = 3.0
+#: Time after an acknowledged drain within which new flows may still arrive.
+DRAIN_LIMIT_S = 3.0
 
-#: The same for an evacuation.
-EVACUATION_BOUND_S = 2.0
+#: Time after an acknowledged evacuation within which new flows may still arrive.
+EVACUATION_LIMIT_S = 2.0
 
 FlowKey = tuple[tuple[int, int], tuple[int, int]]
 
 
 class BackendServer(asyncio.DatagramProtocol):
-    """One backend server at an address; each start is a new run, of a new id or not.
+    """A backend server at an address; each start is a new run.
 
     Parameters
     ----------
     number : int
-        Of its address.
+        Number of the server, which determines its address and failure domain.
     service : str
-        Its service.
+        The service that it serves.
     addresses : Addresses
-        Of servers and callers.
-    control : callable
-        Lists addresses of control instances.
-    allowed : callable
-        Tells whether a service was ever allowed a destination.
+        Addresses of the run.
+    control_addresses : callable
+        Returns the API addresses of the control instances.
+    is_allowed : callable
+        Returns whether any configuration routed a destination to a service.
     evacuated_s : mapping of str to float
-        When an evacuation was acknowledged, by failure domain.
-    promises : Promises
-        Told of breaches.
+        Time at which an evacuation was acknowledged, by failure domain.
+    promises : PromiseMonitor
+        Records breaches.
     """
 
     def __init__(
@@ -56,82 +56,80 @@
         number: int,
         service: str,
         addresses: Addresses,
-        control: Callable[[], list[str]],
-        allowed: Callable[[str, tuple[int, int]], bool],
+        control_addresses: Callable[[], list[str]],
+        is_allowed: Callable[[str, tuple[int, int]], bool],
         evacuated_s: Mapping[str, float],
-        promises: Promises,
+        promises: PromiseMonitor,
     ):
         self.number = number
         self.failure_domain = f"domain-{number % 3}"
         self._evacuated_s = evacuated_s
         self.service = service
         self._addresses = addresses
-        self._control = control
-        self._allowed = allowed
+        self._control_addresses = control_addresses
+        self._is_allowed = is_allowed
         self._promises = promises
         self._transport: asyncio.DatagramTransport | None = None
-        self._reporting: asyncio.Task | None = None
+        self._report_task: asyncio.Task | None = None
         self._flows: dict[FlowKey, int] = {}
         self.run_id = ""
         self._sequence = 0
         self._started_ms = 0
         self.alive = False
         self.draining = False
-        self.drain_known_s = float("inf")
+        self.drain_acknowledged_s = float("inf")
         self.started_s = 0.0
-        self.taken_count = 0
+        self.opened_flow_count = 0
 
     @property
     def _address(self) -> str:
         return f"{self._addresses.server(self.number)}:{self._addresses.servers}"
 
-    # -- life ---------------------------------------------------------------------
-
-    async def start(self, keeps_id: bool = False) -> None:
-        """Start a new run, under a new id or the one before."""
-        if not keeps_id:
+    async def start(self, keep_id: bool = False) -> None:
+        """Start a new run with a new id, or with the previous one."""
+        if not keep_id:
             self.run_id = f"i-{secrets.token_hex(5)}"
         self._sequence = 0
         self._started_ms = max(self._started_ms + 1, time.time_ns() // 1_000_000)
         self.draining = False
-        self.drain_known_s = float("inf")
+        self.drain_acknowledged_s = float("inf")
         self._flows.clear()
         self._transport, _ = await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=parse_address(self._address)
         )
         self.alive = True
         self.started_s = self._promises.now_s()
-        self._reporting = asyncio.ensure_future(self._report_on())
+        self._report_task = asyncio.ensure_future(self._report_periodically())
 
     def crash(self) -> None:
-        """End without a word."""
+        """Stop without a report."""
         if not self.alive:
             return
         self.alive = False
-        self._reporting.cancel()
+        self._report_task.cancel()
         self._transport.close()
 
-    async def leave(self, stay_s: float) -> None:
-        """Drain, stay a little longer, say that it has ended, and end."""
+    async def drain_and_stop(self, linger_s: float) -> None:
+        """Drain, keep serving for some time, report the end of the run and stop."""
         self.draining = True
         for _ in range(20):
-            if await self._report(0.0):
-                self.drain_known_s = self._promises.now_s()
+            if await self._send_report(0.0):
+                self.drain_acknowledged_s = self._promises.now_s()
                 break
             await asyncio.sleep(0.3)
-        await asyncio.sleep(DRAIN_BOUND_S + stay_s)
-        for address in self._control():
+        await asyncio.sleep(DRAIN_LIMIT_S + linger_s)
+        for address in self._control_addresses():
             path = f"/api/endpoints/{self.run_id}"
             if (await call(address, "DELETE", path)).status // 100 == 2:
                 break
         self.crash()
 
-    async def _report_on(self) -> None:
+    async def _report_periodically(self) -> None:
         while True:
-            await self._report(0.0)
+            await self._send_report(0.0)
             await asyncio.sleep(REPORT_INTERVAL_S)
 
-    def _status(self, warm_up_s: float) -> dict[str, object]:
+    def _make_status(self, warm_up_s: float) -> dict[str, object]:
         return {
             "service": self.service,
             "address": self._address,
@@ -144,80 +142,82 @@
             "born": self._started_ms,
         }
 
-    async def send_foreign(self, **fields: object) -> None:
-        """Let another writer report under this server's id; it must be refused."""
-        status = self._status(0.0) | {"sequence": self._sequence + 1_000} | fields
-        body = to_json({name: value for name, value in status.items() if value != ""})
-        address = self._control()[0]
+    async def send_invalid_report(self, **fields: object) -> None:
+        """Send an invalid report with this server's id and check its rejection."""
+        status = self._make_status(0.0) | {"sequence": self._sequence + 1_000} | fields
+        body = encode_json(
+            {name: value for name, value in status.items() if value != ""}
+        )
+        address = self._control_addresses()[0]
         reply = await call(address, "PUT", f"/api/endpoints/{self.run_id}", body)
         if reply.status // 100 == 2:
             detail = f"{self.run_id} {fields}"
-            self._promises.broken("reports of another writer are refused", detail)
+            self._promises.record_breach(
+                "reports of another writer are refused", detail
+            )
 
-    async def _report(self, warm_up_s: float) -> bool:
+    async def _send_report(self, warm_up_s: float) -> bool:
         self._sequence += 1
-        body = to_json(self._status(warm_up_s))
-        for address in self._control():
+        body = encode_json(self._make_status(warm_up_s))
+        for address in self._control_addresses():
             reply = await call(address, "PUT", f"/api/endpoints/{self.run_id}", body)
             if reply.status // 100 == 2:
                 return True
         return False
 
-    # -- flows --------------------------------------------------------------------
-
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take a datagram from an entry instance."""
-        run, segment = decode_for_run(data)
+        """Handle a datagram from an entry instance."""
+        run_number, segment = decode_for_run(data)
         if not self.alive:
             return
-        if run not in (0, int(self.run_id[2:], 16)):
+        if run_number not in (0, int(self.run_id[2:], 16)):
             return
-        if not self._allowed(self.service, segment.target):
-            self._promises.broken(
+        if not self._is_allowed(self.service, segment.target):
+            self._promises.record_breach(
                 "no packet reaches another service",
                 f"{self.service} got one for {segment.target}",
             )
         if segment.flags & SYN:
-            self._open(segment)
+            self._handle_opening(segment)
         else:
-            self._serve(segment)
+            self._handle_segment(segment)
 
-    def _open(self, segment: Segment) -> None:
+    def _handle_opening(self, segment: Segment) -> None:
         key = (segment.source, segment.target)
-        late_s = self._promises.now_s() - self.drain_known_s - DRAIN_BOUND_S
+        late_s = self._promises.now_s() - self.drain_acknowledged_s - DRAIN_LIMIT_S
         if late_s > 0 and key not in self._flows and self._promises.is_calm():
-            self._promises.broken(
+            self._promises.record_breach(
                 "no new flow after a drain is known",
                 f"{self.run_id} {late_s:.1f} s late",
             )
         self._check_evacuation(key)
         self._flows.setdefault(key, secrets.randbits(31))
-        self.taken_count += 1
-        self._answer(segment, SYN | ACK, b"")
+        self.opened_flow_count += 1
+        self._send(segment, SYN | ACK, b"")
 
     def _check_evacuation(self, key: FlowKey) -> None:
-        ordered_s = self._evacuated_s.get(self.failure_domain, float("inf"))
-        late_s = self._promises.now_s() - ordered_s - EVACUATION_BOUND_S
+        acknowledged_s = self._evacuated_s.get(self.failure_domain, float("inf"))
+        late_s = self._promises.now_s() - acknowledged_s - EVACUATION_LIMIT_S
         if late_s > 0 and key not in self._flows and self._promises.is_calm():
-            self._promises.broken(
+            self._promises.record_breach(
                 "no new flow in an evacuated domain",
                 f"{self.run_id} in {self.failure_domain} {late_s:.1f} s late",
             )
 
-    def _serve(self, segment: Segment) -> None:
+    def _handle_segment(self, segment: Segment) -> None:
         key = (segment.source, segment.target)
         if key not in self._flows:
             if not segment.flags & RST:
-                self._answer(segment, RST, b"")
+                self._send(segment, RST, b"")
             return
         if segment.flags & (FIN | RST):
             del self._flows[key]
             return
         if segment.payload:
-            answer = segment.payload + f" {self.service} {self.run_id}".encode()
-            self._answer(segment, ACK, answer)
+            payload = segment.payload + f" {self.service} {self.run_id}".encode()
+            self._send(segment, ACK, payload)
 
-    def _answer(self, segment: Segment, flags: int, payload: bytes) -> None:
+    def _send(self, segment: Segment, flags: int, payload: bytes) -> None:
         answer = Segment(
             label=segment.label,
             source=segment.target,
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -1,4 +1,4 @@
-"""Faults, each an action with a beginning and an end."""
+"""Injects random faults into the fleet and the proxies."""
 
 import asyncio
 import random
@@ -10,19 +10,19 @@
 from soak.fleet import Fleet, Machine
 from soak.mesh import Mesh
 from soak.operator import Operator
-from soak.promises import Promises
-
-#: Least time between two losses of disks: the first one's instance votes again by then.
-_BETWEEN_DISKS_S = 15.0
-
-#: Planned work, which disturbs no promise.
-_PLANNED = {"replace a server", "race changes", "resend a change"}
-#: Failure domains that can be evacuated: the third has all servers of a service.
-_EMPTIED_DOMAINS = ("domain-1", "domain-2")
-#: A restart by a supervisor that does not wait.
-_AT_ONCE_S = 0.05
-#: Fields of reports that no server sends; an empty text leaves the field out.
-_FOREIGN: tuple[dict[str, object], ...] = (
+from soak.promises import PromiseMonitor
+
+#: Minimum interval of disk losses: the instance of the first one can vote again.
+_MIN_DISK_LOSS_INTERVAL_S = 15.0
+
+#: Planned work, during which all promises are checked.
+_PLANNED_WORK = {"replace a server", "race changes", "resend a change"}
+#: Failure domains that can be evacuated; the third has all servers of a service.
+_EVACUABLE_DOMAINS = ("domain-1", "domain-2")
+#: Restart delay of a supervisor without backoff.
+_FAST_RESTART_S = 0.05
+#: Invalid values of report fields; an empty string removes the field.
+_INVALID_FIELDS: tuple[dict[str, object], ...] = (
     {"state": "gone"},
     {"state": True},
     {"capacity": "2"},
@@ -37,23 +37,23 @@
 Fault = Callable[[], Awaitable[None]]
 
 
-class FaultMaker:
-    """Draws faults and lets them happen.
+class FaultInjector:
+    """Selects and injects faults at random.
 
     Parameters
     ----------
     fleet : Fleet
-        The instances.
+        The processes of the instances.
     mesh : Mesh
-        What is between them.
+        The proxies between the instances.
     servers : list of BackendServer
         The backend servers.
     operator : Operator
-        Sends changes meanwhile.
-    promises : Promises
-        Told when a fault begins and ends.
+        Sends changes and evacuations.
+    promises : PromiseMonitor
+        Receives the start and end of each fault.
     seed : int
-        Of every draw.
+        Seed of the random numbers.
     """
 
     def __init__(
@@ -62,7 +62,7 @@
         mesh: Mesh,
         servers: list[BackendServer],
         operator: Operator,
-        promises: Promises,
+        promises: PromiseMonitor,
         seed: int,
     ):
         self._fleet = fleet
@@ -71,9 +71,9 @@
         self._operator = operator
         self._promises = promises
         self._random = random.Random(seed)
-        #: Draws of its own, so that seeds still draw the faults that they drew.
-        self._restarts = random.Random(f"restarts {seed}")
-        self._evacuations = random.Random(f"evacuations {seed}")
+        #: Separate generators, whose use does not change the sequence of faults.
+        self._restart_random = random.Random(f"restarts {seed}")
+        self._evacuation_random = random.Random(f"evacuations {seed}")
         self._disk_lost_s = float("-inf")
         self.counts: dict[str, int] = {}
         self._faults: dict[str, Fault] = {
@@ -98,57 +98,55 @@
             "resend a change": self._operator.resend_older,
         }
 
-    async def draw(self) -> None:
-        """Let one fault happen from its beginning to its end."""
+    async def inject_random(self) -> None:
+        """Inject one random fault and wait until it has ended."""
         name = self._random.choice(list(self._faults))
         self.counts[name] = self.counts.get(name, 0) + 1
-        if name in _PLANNED:
+        if name in _PLANNED_WORK:
             await self._faults[name]()
             return
-        mark = f"{name} {sum(self.counts.values())}"
-        self._promises.begin(mark)
+        fault_id = f"{name} {sum(self.counts.values())}"
+        self._promises.begin_fault(fault_id)
         try:
             await self._faults[name]()
         finally:
-            self._promises.end(mark)
+            self._promises.end_fault(fault_id)
 
-    def _some_s(self) -> float:
+    def _draw_duration_s(self) -> float:
         return self._random.uniform(0.5, 5.0)
 
-    def _machine(self, role: str = "") -> Machine:
+    def _draw_machine(self, role: str = "") -> Machine:
         role = role or self._random.choice(("entry", "control"))
-        return self._random.choice(self._fleet.of_role(role))
-
-    # -- processes ----------------------------------------------------------------
+        return self._random.choice(self._fleet.machines_of_role(role))
 
     async def _kill(self) -> None:
-        self._fleet.send(self._machine(), signal.SIGKILL)
+        self._fleet.send_signal(self._draw_machine(), signal.SIGKILL)
 
     async def _kill_many(self) -> None:
         for machine in self._fleet.machines.values():
             if self._random.random() < 0.6:
-                self._fleet.send(machine, signal.SIGKILL)
+                self._fleet.send_signal(machine, signal.SIGKILL)
 
     async def _kill_all_control(self) -> None:
-        for machine in self._fleet.of_role("control"):
-            self._fleet.send(machine, signal.SIGKILL)
+        for machine in self._fleet.machines_of_role("control"):
+            self._fleet.send_signal(machine, signal.SIGKILL)
 
     async def _freeze(self) -> None:
-        machine = self._machine()
-        self._fleet.send(machine, signal.SIGSTOP)
+        machine = self._draw_machine()
+        self._fleet.send_signal(machine, signal.SIGSTOP)
         process = machine.process
-        await asyncio.sleep(self._some_s())
+        await asyncio.sleep(self._draw_duration_s())
         if process is not None and process.poll() is None:
             process.send_signal(signal.SIGCONT)
-        machine.stopped = False
+        machine.is_frozen = False
 
     async def _stop(self) -> None:
-        self._fleet.send(self._machine(), signal.SIGTERM)
+        self._fleet.send_signal(self._draw_machine(), signal.SIGTERM)
         await asyncio.sleep(2.0)
 
     async def _rolling_stop(self) -> None:
-        for machine in self._fleet.of_role("entry"):
-            self._fleet.send(machine, signal.SIGTERM)
+        for machine in self._fleet.machines_of_role("entry"):
+            self._fleet.send_signal(machine, signal.SIGTERM)
             await asyncio.sleep(1.2)
         await asyncio.sleep(3.0)
 
@@ -157,91 +155,87 @@
         for machine in self._fleet.machines.values():
             if self._random.random() < 0.5:
                 self._fleet.write_settings(machine)
-                self._fleet.send(machine, signal.SIGHUP)
-
-    # -- disks --------------------------------------------------------------------
+                self._fleet.send_signal(machine, signal.SIGHUP)
 
     async def _lose_disk(self) -> None:
-        since_s = self._promises.now_s() - self._disk_lost_s
-        if since_s < _BETWEEN_DISKS_S:
+        elapsed_s = self._promises.now_s() - self._disk_lost_s
+        if elapsed_s < _MIN_DISK_LOSS_INTERVAL_S:
             return
         self._disk_lost_s = self._promises.now_s()
-        await self._fleet.lose_disk(self._machine("control"))
+        await self._fleet.lose_disk(self._draw_machine("control"))
 
     async def _fill_disk(self) -> None:
-        machine = self._machine("control")
+        machine = self._draw_machine("control")
         self._fleet.limit_disk(machine, 0)
-        await asyncio.sleep(self._some_s())
+        await asyncio.sleep(self._draw_duration_s())
         self._fleet.limit_disk(machine, 1 << 40)
 
-    # -- the network between instances --------------------------------------------
-
     async def _cut(self, pairs: set[tuple[int, int]]) -> None:
         self._mesh.faults.cut |= pairs
-        await asyncio.sleep(self._some_s())
+        await asyncio.sleep(self._draw_duration_s())
         self._mesh.faults.cut -= pairs
 
     async def _cut_domain(self) -> None:
-        domain = self._machine().failure_domain
+        domain = self._draw_machine().failure_domain
         machines = self._fleet.machines.values()
-        inside = [one.number for one in machines if one.failure_domain == domain]
-        outside = [one.number for one in machines if one.failure_domain != domain]
+        inside = [each.number for each in machines if each.failure_domain == domain]
+        outside = [each.number for each in machines if each.failure_domain != domain]
         await self._cut({*product(inside, outside), *product(outside, inside)})
 
     async def _cut_one_way(self) -> None:
-        number = self._machine().number
-        others = [one for one in self._fleet.machines if one != number]
+        number = self._draw_machine().number
+        others = [other for other in self._fleet.machines if other != number]
         await self._cut(set(product([number], others)))
 
     async def _split_control(self) -> None:
-        numbers = [one.number for one in self._fleet.of_role("control")]
+        numbers = [
+            machine.number for machine in self._fleet.machines_of_role("control")
+        ]
         self._random.shuffle(numbers)
         half = len(numbers) // 2
-        one, other = numbers[:half], numbers[half:]
-        await self._cut({*product(one, other), *product(other, one)})
+        first, second = numbers[:half], numbers[half:]
+        await self._cut({*product(first, second), *product(second, first)})
 
     async def _delay(self) -> None:
-        number = self._machine().number
+        number = self._draw_machine().number
         pairs = [(number, other) for other in self._fleet.machines]
         self._mesh.faults.delay_s.update(dict.fromkeys(pairs, 0.15))
-        await asyncio.sleep(self._some_s())
+        await asyncio.sleep(self._draw_duration_s())
         for pair in pairs:
             self._mesh.faults.delay_s.pop(pair, None)
 
     async def _lose_datagrams(self) -> None:
         self._mesh.faults.loss_ratio = 0.2
-        await asyncio.sleep(self._some_s())
+        await asyncio.sleep(self._draw_duration_s())
         self._mesh.faults.loss_ratio = 0.0
 
     async def _reset_connections(self) -> None:
         self._mesh.reset_connections(self._random.choice((0.3, 1.0)))
 
-    # -- backend servers ----------------------------------------------------------
-
     async def _crash_server(self) -> None:
         server = self._random.choice(self._servers)
         if not server.alive or server.draining:
             return
         server.crash()
-        gone_s = self._some_s()
-        is_back_at_once = self._restarts.random() < 0.5
-        await asyncio.sleep(_AT_ONCE_S if is_back_at_once else gone_s)
-        await server.start(keeps_id=self._restarts.random() < 0.5)
-
-    async def send_foreign(self) -> None:
-        """Let another writer report under a server's id, which disturbs nothing."""
-        server = self._restarts.choice(self._servers)
+        delay_s = self._draw_duration_s()
+        is_fast_restart = self._restart_random.random() < 0.5
+        await asyncio.sleep(_FAST_RESTART_S if is_fast_restart else delay_s)
+        await server.start(keep_id=self._restart_random.random() < 0.5)
+
+    async def send_invalid_reports(self) -> None:
+        """Send invalid reports with a server's id, which must have no effect."""
+        server = self._restart_random.choice(self._servers)
         if not server.alive:
             return
         self.counts["foreign reports"] = self.counts.get("foreign reports", 0) + 1
-        for fields in _FOREIGN:
-            await server.send_foreign(**fields)
+        for fields in _INVALID_FIELDS:
+            await server.send_invalid_report(**fields)
 
     async def evacuate(self) -> str:
-        """Evacuate a failure domain, which is planned work; return its name."""
-        domain = self._evacuations.choice(_EMPTIED_DOMAINS)
+        """Evacuate a failure domain as planned work; return its name."""
+        domain = self._evacuation_random.choice(_EVACUABLE_DOMAINS)
         self.counts["evacuate"] = self.counts.get("evacuate", 0) + 1
-        await asyncio.sleep(self._evacuations.uniform(0.0, 2.0))
+        await asyncio.sleep(self._evacuation_random.uniform(0.0, 2.0))
         await self._operator.evacuate(domain)
         return domain
 
@@ -249,6 +243,6 @@
         server = self._random.choice(self._servers)
         if not server.alive or server.draining:
             return
-        await server.leave(self._random.uniform(0.0, 2.0))
+        await server.drain_and_stop(self._random.uniform(0.0, 2.0))
         await asyncio.sleep(2.0)
         await server.start()
--- a/soak/fleet.py
+++ b/soak/fleet.py
@@ -1,4 +1,4 @@
-"""The real programs as processes: started, stopped, killed and started again."""
+"""Starts, supervises, signals and restarts the processes of the instances."""
 
 import asyncio
 import os
@@ -14,9 +14,9 @@
 from soak.addresses import Addresses
 
 _ROOT = Path(__file__).resolve().parent.parent
-#: The platform starts a process again after about this time.
-_RESTART_S = 0.5
-#: The interpreter's own start, on a busy computer.
+#: Restart delay of the platform.
+_RESTART_DELAY_S = 0.5
+#: Start time of the interpreter on a loaded machine.
 _INTERPRETER_START_S = 0.3
 GRACE_S = 6.0
 REPORT_INTERVAL_S = 0.5
@@ -24,43 +24,43 @@
 
 @dataclass
 class Machine:
-    """One instance and its present process."""
+    """An instance and its current process."""
 
     number: int
     role: str
     failure_domain: str
     folder: Path
     process: subprocess.Popen | None = None
-    #: Whether it is to run; a process that ends is started again.
-    wanted: bool = True
+    #: Whether the process is restarted when it exits.
+    should_run: bool = True
     has_run: bool = False
-    stopped: bool = False
-    #: When a signal of ours was sent that ends it, and which.
-    ending: signal.Signals | None = None
-    ending_s: float = 0.0
+    is_frozen: bool = False
+    #: The terminating signal that was sent to the process, and the time of sending.
+    end_signal: signal.Signals | None = None
+    end_signal_sent_s: float = 0.0
     started_s: float = 0.0
 
     @property
     def name(self) -> str:
-        """Name of the instance."""
+        """Return the name of the instance."""
         return f"{self.role}-{self.number}"
 
 
 class Fleet:
-    """Runs the instances of a small deployment.
+    """Runs the instances of a deployment as processes.
 
     Parameters
     ----------
     folder : Path
-        For settings, logs and disks.
+        Directory for settings, logs and disks.
     addresses : Addresses
-        Of all instances.
+        Addresses of the run.
     control_count, entry_count : int
-        Instances of each role.
+        Number of instances per role.
     losses_borne : int
-        Control instances whose loss is to be borne.
+        Number of simultaneous failures of control instances to tolerate.
     sources : Path, optional
-        Checkout that the programs are run from.
+        Checkout from which the programs are run.
     """
 
     def __init__(
@@ -73,7 +73,9 @@
         sources: Path = _ROOT,
     ):
         self.folder = folder
-        self._path = os.pathsep.join((str(sources / "platform"), str(sources / "src")))
+        self._python_path = os.pathsep.join(
+            (str(sources / "platform"), str(sources / "src"))
+        )
         self.addresses = addresses
         self._losses_borne = losses_borne
         roles = ["control"] * control_count + ["entry"] * entry_count
@@ -81,45 +83,44 @@
             number: Machine(number, role, f"domain-{number % 3}", folder / str(number))
             for number, role in enumerate(roles, 1)
         }
-        self.seeds = self.of_role("control")[:3]
-        self.exits: list[str] = []
+        self.seeds = self.machines_of_role("control")[:3]
+        self.unexpected_exits: list[str] = []
 
-    def of_role(self, role: str) -> list[Machine]:
-        """List the machines of a role."""
-        return [one for one in self.machines.values() if one.role == role]
+    def machines_of_role(self, role: str) -> list[Machine]:
+        """Return the machines of a role."""
+        return [machine for machine in self.machines.values() if machine.role == role]
 
-    def pid_of(self, number: int) -> int | None:
-        """Find an instance's process."""
+    def find_pid(self, number: int) -> int | None:
+        """Return the process id of an instance, or None if it is down."""
         machine = self.machines.get(number)
         if machine is None or machine.process is None:
             return None
         return machine.process.pid
 
-    # -- settings -----------------------------------------------------------------
-
     def write_settings(self, machine: Machine) -> Path:
-        """Write a machine's settings as the platform does."""
-        ports = self.addresses
-        host = ports.advertised(machine.number)
+        """Write the settings file of a machine and return its path."""
+        addresses = self.addresses
+        host = addresses.advertised(machine.number)
         seeds = ",".join(
-            f"{ports.advertised(s.number)}:{ports.api}" for s in self.seeds
+            f"{addresses.advertised(seed.number)}:{addresses.api}"
+            for seed in self.seeds
         )
         lines = [
             f"node_name={machine.name}",
             f"zone={machine.failure_domain}",
             f"ip={host}",
-            f"agatethread.listen_ip={ports.listening(machine.number)}",
-            f"internal_port_range={ports.registry},{ports.log}",
+            f"agatethread.listen_ip={addresses.listening(machine.number)}",
+            f"internal_port_range={addresses.registry},{addresses.log}",
             f"seed_addrs={seeds}",
             f"bootstrap={'false' if machine.has_run else 'true'}",
             f"heartbeat_interval_ms={int(REPORT_INTERVAL_S * 1000)}",
-            # So that faults meet the parts that are on only where they are called for.
+            # Enables the optional parts, so that the faults exercise them.
             "invariants=pressure,health",
             f"fault_tolerance.machines={self._losses_borne}",
             f"bounds.grace_s={GRACE_S}",
-            f"listen_addrs.control_plane={host}:{ports.api}",
-            f"listen_addrs.datagram_addr={host}:{ports.datagrams}",
-            f"listen_addrs.readiness_addr={host}:{ports.readiness}",
+            f"listen_addrs.control_plane={host}:{addresses.api}",
+            f"listen_addrs.datagram_addr={host}:{addresses.datagrams}",
+            f"listen_addrs.readiness_addr={host}:{addresses.readiness}",
             f"data_dir={machine.folder / 'disk'}",
         ]
         machine.folder.mkdir(parents=True, exist_ok=True)
@@ -127,15 +128,13 @@
         path.write_text("\n".join(lines) + "\n")
         return path
 
-    # -- processes ----------------------------------------------------------------
-
     def start(self, machine: Machine) -> None:
-        """Start a machine's process."""
+        """Start the process of a machine."""
         path = self.write_settings(machine)
         environment = {
             "AGATETHREAD_SETTINGS": str(path),
             "PATH": os.environ["PATH"],
-            "PYTHONPATH": self._path,
+            "PYTHONPATH": self._python_path,
         }
         (machine.folder / "disk").mkdir(exist_ok=True)
         with open(machine.folder / "log", "ab") as log:
@@ -147,77 +146,83 @@
             )
         machine.has_run = True
         machine.started_s = time.monotonic()
-        machine.ending = None
-        machine.stopped = False
+        machine.end_signal = None
+        machine.is_frozen = False
 
-    async def watch(self) -> None:
-        """Start processes again that ended, and note how they ended."""
+    async def supervise(self) -> None:
+        """Restart processes that exited, and record unexpected exits."""
         while True:
             for machine in self.machines.values():
                 process = machine.process
                 if process is not None and process.poll() is not None:
-                    self._note_exit(machine, process.returncode)
+                    self._record_exit(machine, process.returncode)
                     machine.process = None
                     asyncio.get_running_loop().call_later(
-                        _RESTART_S, self._start_again, machine
+                        _RESTART_DELAY_S, self._restart, machine
                     )
-                self._note_overdue(machine)
+                self._kill_overdue(machine)
             await asyncio.sleep(0.05)
 
-    def _start_again(self, machine: Machine) -> None:
-        if machine.wanted and machine.process is None:
+    def _restart(self, machine: Machine) -> None:
+        if machine.should_run and machine.process is None:
             self.start(machine)
 
-    def _note_exit(self, machine: Machine, code: int) -> None:
-        if machine.ending is None:
-            self.exits.append(f"{machine.name} ended by itself with {code}")
-        elif machine.ending is signal.SIGTERM and code != 0:
-            # Before its first line of Python runs, nothing can catch a signal.
-            if machine.ending_s - machine.started_s > _INTERPRETER_START_S:
-                self.exits.append(f"{machine.name} ended with {code} on SIGTERM")
-
-    def _note_overdue(self, machine: Machine) -> None:
-        is_ending = machine.ending is signal.SIGTERM and machine.process is not None
-        if is_ending and time.monotonic() - machine.ending_s > GRACE_S:
-            # A process that stood still in between can't be blamed.
-            if not machine.stopped:
-                self.exits.append(f"{machine.name} outlived its grace time")
-            self.send(machine, signal.SIGKILL)
-
-    def send(self, machine: Machine, number: signal.Signals) -> None:
-        """Send a signal to a machine's process."""
+    def _record_exit(self, machine: Machine, exit_code: int) -> None:
+        if machine.end_signal is None:
+            self.unexpected_exits.append(
+                f"{machine.name} ended by itself with {exit_code}"
+            )
+        elif machine.end_signal is signal.SIGTERM and exit_code != 0:
+            # The interpreter can't handle signals before it runs the program.
+            if machine.end_signal_sent_s - machine.started_s > _INTERPRETER_START_S:
+                self.unexpected_exits.append(
+                    f"{machine.name} ended with {exit_code} on SIGTERM"
+                )
+
+    def _kill_overdue(self, machine: Machine) -> None:
+        is_terminating = (
+            machine.end_signal is signal.SIGTERM and machine.process is not None
+        )
+        if is_terminating and time.monotonic() - machine.end_signal_sent_s > GRACE_S:
+            # A process that was frozen meanwhile is not at fault.
+            if not machine.is_frozen:
+                self.unexpected_exits.append(f"{machine.name} outlived its grace time")
+            self.send_signal(machine, signal.SIGKILL)
+
+    def send_signal(self, machine: Machine, signal_number: signal.Signals) -> None:
+        """Send a signal to the process of a machine, if it runs."""
         if machine.process is None:
             return
-        # A process that was killed ends by that, whatever it is sent afterwards.
-        is_killed = machine.ending is signal.SIGKILL
-        if number in (signal.SIGTERM, signal.SIGKILL) and not is_killed:
-            machine.ending = number
-            machine.ending_s = time.monotonic()
-        if number is signal.SIGSTOP:
-            machine.stopped = True
-        machine.process.send_signal(number)
+        # Signals after SIGKILL have no effect on the exit.
+        is_killed = machine.end_signal is signal.SIGKILL
+        if signal_number in (signal.SIGTERM, signal.SIGKILL) and not is_killed:
+            machine.end_signal = signal_number
+            machine.end_signal_sent_s = time.monotonic()
+        if signal_number is signal.SIGSTOP:
+            machine.is_frozen = True
+        machine.process.send_signal(signal_number)
 
     def limit_disk(self, machine: Machine, limit_bytes: int) -> None:
-        """Let no file of a process grow beyond a size, as on a full disk."""
-        pid = self.pid_of(machine.number)
+        """Limit the file size of a process, which simulates a full disk."""
+        pid = self.find_pid(machine.number)
         if pid is not None:
-            hard = resource.RLIM_INFINITY
-            resource.prlimit(pid, resource.RLIMIT_FSIZE, (limit_bytes, hard))
+            hard_limit = resource.RLIM_INFINITY
+            resource.prlimit(pid, resource.RLIMIT_FSIZE, (limit_bytes, hard_limit))
 
     async def lose_disk(self, machine: Machine) -> None:
-        """Kill a process and remove its files before it starts again."""
-        machine.wanted = False
-        self.send(machine, signal.SIGKILL)
+        """Kill a process, delete its data and restart it."""
+        machine.should_run = False
+        self.send_signal(machine, signal.SIGKILL)
         while machine.process is not None:
             await asyncio.sleep(0.02)
         shutil.rmtree(machine.folder / "disk", ignore_errors=True)
-        machine.wanted = True
+        machine.should_run = True
         self.start(machine)
 
-    def end_all(self) -> None:
-        """End every process that was started here."""
+    def kill_all(self) -> None:
+        """Kill all processes."""
         for machine in self.machines.values():
-            machine.wanted = False
+            machine.should_run = False
             if machine.process is not None and machine.process.poll() is None:
                 machine.process.send_signal(signal.SIGCONT)
                 machine.process.kill()
--- a/soak/mesh.py
+++ b/soak/mesh.py
@@ -1,7 +1,7 @@
-"""A loopback proxy between the instances: delays, cuts, silence and resets.
+"""Loopback proxies between the instances, which can delay, drop and reset traffic.
 
-Datagrams come from an instance's own address, so their sender is known; of a connection
-it is found by the process that holds it.
+The sender of a datagram is known by its source address, that of a connection by the
+process that owns the socket.
 """
 
 import asyncio
@@ -10,56 +10,56 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from soak.addresses import Addresses, number_of
+from soak.addresses import Addresses, parse_number
 
 _CHUNK_BYTES = 65_536
-#: How often a silenced connection looks whether it may go on.
-_SILENCE_POLL_S = 0.05
+#: Interval at which a cut connection checks whether the cut has ended.
+_CUT_POLL_INTERVAL_S = 0.05
 
 Pair = tuple[int, int]
 
 
 @dataclass
 class LinkFaults:
-    """What is wrong between instances; pairs are (sender, receiver)."""
+    """Active network faults; pairs are (sender, receiver)."""
 
     cut: set[Pair] = field(default_factory=set)
     delay_s: dict[Pair, float] = field(default_factory=dict)
     loss_ratio: float = 0.0
 
     def clear(self) -> None:
-        """End every fault."""
+        """Remove all faults."""
         self.cut.clear()
         self.delay_s.clear()
         self.loss_ratio = 0.0
 
 
 class Mesh:
-    """Forwards what instances send to each other.
+    """Forwards datagrams and connections between instances.
 
     Parameters
     ----------
     addresses : Addresses
-        Of all instances.
+        Addresses of the run.
     seed : int
-        Of lost datagrams.
-    pid_of : callable
-        Process of an instance; None while it is down.
+        Seed of the random numbers.
+    find_pid : callable
+        Returns the process id of an instance, or None if it is down.
     """
 
     def __init__(
-        self, addresses: Addresses, seed: int, pid_of: Callable[[int], int | None]
+        self, addresses: Addresses, seed: int, find_pid: Callable[[int], int | None]
     ):
         self._addresses = addresses
         self._random = random.Random(seed)
-        self._pid_of = pid_of
+        self._find_pid = find_pid
         self._datagrams: dict[int, asyncio.DatagramTransport] = {}
         self._servers: list[asyncio.Server] = []
         self._connections: dict[asyncio.Task, Pair] = {}
         self.faults = LinkFaults()
 
     async def open(self, numbers: list[int]) -> None:
-        """Listen at the advertised addresses of some instances."""
+        """Listen at the advertised addresses of instances."""
         loop = asyncio.get_running_loop()
         for number in numbers:
             host = self._addresses.advertised(number)
@@ -69,7 +69,7 @@
             )
             self._datagrams[number] = transport
             server = await asyncio.start_server(
-                lambda reader, writer, number=number: self._serve(
+                lambda reader, writer, number=number: self._proxy_connection(
                     number, reader, writer
                 ),
                 host,
@@ -85,63 +85,59 @@
             server.close()
         self.reset_connections(1.0)
 
-    # -- datagrams ----------------------------------------------------------------
-
     def forward(self, data: bytes, source: int, target: int) -> None:
-        """Send a datagram on, unless a fault holds it."""
+        """Forward a datagram unless a fault drops it."""
         pair = (source, target)
         is_lost = self._random.random() < self.faults.loss_ratio
         if pair in self.faults.cut or is_lost or source not in self._datagrams:
             return
-        place = (self._addresses.listening(target), self._addresses.registry)
+        address = (self._addresses.listening(target), self._addresses.registry)
         send = self._datagrams[source].sendto
         delay_s = self.faults.delay_s.get(pair, 0.0)
-        asyncio.get_running_loop().call_later(delay_s, send, data, place)
-
-    # -- connections --------------------------------------------------------------
+        asyncio.get_running_loop().call_later(delay_s, send, data, address)
 
     def reset_connections(self, ratio: float) -> None:
-        """Reset a share of the open connections."""
+        """Reset a random share of the open connections."""
         for task in list(self._connections):
             if self._random.random() < ratio:
                 task.cancel()
 
-    async def _serve(
+    async def _proxy_connection(
         self, target: int, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         source = self._find_source(writer.get_extra_info("peername"))
         task = asyncio.current_task()
         self._connections[task] = (source, target)
-        onward = None
+        upstream = None
         try:
-            await self._wait_until_open((source, target))
-            onward = await asyncio.open_connection(
+            await self._wait_while_cut((source, target))
+            upstream = await asyncio.open_connection(
                 self._addresses.listening(target), self._addresses.log
             )
             await asyncio.gather(
-                self._pump(reader, onward[1], (source, target)),
-                self._pump(onward[0], writer, (target, source)),
+                self._copy(reader, upstream[1], (source, target)),
+                self._copy(upstream[0], writer, (target, source)),
             )
         except (OSError, asyncio.CancelledError, EOFError):
-            # Either end is gone, or this fault is its end.
+            # An end closed the connection, or a fault resets it.
             pass
         finally:
             self._connections.pop(task, None)
-            for one in (writer, onward[1] if onward else writer):
-                one.transport.abort()
+            for each in (writer, upstream[1] if upstream else writer):
+                each.transport.abort()
 
-    async def _wait_until_open(self, pair: Pair) -> None:
+    async def _wait_while_cut(self, pair: Pair) -> None:
         while pair in self.faults.cut:
-            await asyncio.sleep(_SILENCE_POLL_S)
+            await asyncio.sleep(_CUT_POLL_INTERVAL_S)
 
-    async def _pump(
+    async def _copy(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, pair: Pair
     ) -> None:
         while True:
             data = await reader.read(_CHUNK_BYTES)
             if not data:
                 raise EOFError
-            await self._wait_until_open(pair)
+            await self._wait_while_cut(pair)
             delay_s = self.faults.delay_s.get(pair, 0.0)
             if delay_s:
                 await asyncio.sleep(delay_s)
@@ -149,10 +145,10 @@
             await writer.drain()
 
     def _find_source(self, peer: tuple[str, int]) -> int:
-        inode = _inode_of(peer)
+        inode = _find_socket_inode(peer)
         for number in self._datagrams:
-            pid = self._pid_of(number)
-            if pid is not None and _holds(pid, inode):
+            pid = self._find_pid(number)
+            if pid is not None and _owns_socket(pid, inode):
                 return number
         return 0
 
@@ -163,22 +159,22 @@
         self._number = number
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        self._mesh.forward(data, number_of(addr[0]), self._number)
+        self._mesh.forward(data, parse_number(addr[0]), self._number)
 
 
-def _inode_of(local: tuple[str, int]) -> str:
-    """Find the socket that a connection was opened with, as Linux lists it."""
-    host = "".join(f"{int(part):02X}" for part in reversed(local[0].split(".")))
-    wanted = f"{host}:{local[1]:04X}"
+def _find_socket_inode(address: tuple[str, int]) -> str:
+    """Return the inode of a local TCP socket, or an empty string."""
+    host = "".join(f"{int(part):02X}" for part in reversed(address[0].split(".")))
+    local_address = f"{host}:{address[1]:04X}"
     with open("/proc/net/tcp", encoding="ascii") as table:
         for row in table:
             parts = row.split()
-            if len(parts) > 9 and parts[1] == wanted:
+            if len(parts) > 9 and parts[1] == local_address:
                 return parts[9]
     return ""
 
 
-def _holds(pid: int, inode: str) -> bool:
+def _owns_socket(pid: int, inode: str) -> bool:
     folder = f"/proc/{pid}/fd"
     try:
         names = os.listdir(folder)
--- a/soak/operator.py
+++ b/soak/operator.py
@@ -1,18 +1,18 @@
-"""The operator: changes the configuration, races itself, and reads it back."""
+"""Simulates an operator, who changes configurations and evacuations and reads them."""
 
 import asyncio
 import random
 from collections.abc import Callable
 
-from soak.promises import Promises
-from soak.wire import call, host_number, to_json
+from soak.promises import PromiseMonitor
+from soak.wire import call, encode_json, host_number
 
-#: An acknowledgement in calm times may take so long at most.
-ACK_BOUND_S = 5.0
-#: A change that nobody takes for so long is given up; it may or may not be in force.
-_GIVE_UP_S = 12.0
-_READ_PAUSE_S = 0.3
-#: Destinations that always lead to a service.
+#: Limit for the acknowledgement of a change without faults.
+ACK_LIMIT_S = 5.0
+#: Retry period of a change, after which it may or may not be in force.
+_RETRY_PERIOD_S = 12.0
+_READ_INTERVAL_S = 0.3
+#: Destinations that all versions route to a service.
 BASE_ROUTES = {
     ("198.18.0.1", 443): "alpha",
     ("198.18.0.1", 8_080): "beta",
@@ -23,72 +23,77 @@
 
 
 class Operator:
-    """Sends changes and checks what is read.
+    """Sends changes and checks the configurations that it reads.
 
     Parameters
     ----------
-    control : callable
-        Lists addresses of control instances, in any order.
-    promises : Promises
-        Told of breaches.
+    control_addresses : callable
+        Returns the API addresses of the control instances, in any order.
+    promises : PromiseMonitor
+        Records breaches.
     seed : int
-        Of the changes.
+        Seed of the random numbers.
     """
 
-    def __init__(self, control: Callable[[], list[str]], promises: Promises, seed: int):
-        self._control = control
+    def __init__(
+        self,
+        control_addresses: Callable[[], list[str]],
+        promises: PromiseMonitor,
+        seed: int,
+    ):
+        self._control_addresses = control_addresses
         self._promises = promises
         self._random = random.Random(seed)
         self._bodies: dict[int, set[bytes]] = {}
-        self._seen: dict[int, bytes] = {}
+        self._bodies_read: dict[int, bytes] = {}
         self._next_version = 1
-        self.acknowledged = 0
+        self.acknowledged_version = 0
         self.change_count = 0
         self.read_count = 0
-        #: When an evacuation was acknowledged, by failure domain.
+        #: Time at which an evacuation was acknowledged, by failure domain.
         self.evacuated_s: dict[str, float] = {}
 
     def targets(self) -> dict[Target, str]:
-        """List the destinations that every version has."""
+        """Return the destinations that all versions have, with their services."""
         return {
             (host_number(host), port): service
             for (host, port), service in BASE_ROUTES.items()
         }
 
-    def allows(self, service: str, target: Target) -> bool:
-        """Tell whether any version ever led a destination to a service."""
+    def can_route(self, service: str, target: Target) -> bool:
+        """Return whether any version can route a destination to a service."""
         if target[0] == host_number(_EXTRA_HOST):
             return service == "alpha"
         return self.targets().get(target) == service
 
     @staticmethod
     def extra_target(version: int) -> Target:
-        """Find the destination that a version has and the one before has not."""
+        """Return the destination that a version has and its predecessor lacks."""
         return (host_number(_EXTRA_HOST), 1_000 + version % 50_000)
 
-    # -- changes ------------------------------------------------------------------
-
     async def change(self) -> int:
-        """Send the next version until it is acknowledged; return it, or 0."""
-        version = self._take_version()
+        """Send a new version until it is acknowledged; return it, or 0 on failure."""
+        version = self._draw_version()
         body = self._make_body(version)
-        return version if await self._put(version, body) else 0
+        return version if await self._send_change(version, body) else 0
 
     async def race(self) -> None:
-        """Send two bodies under one number at once."""
-        version = self._take_version()
+        """Send two bodies with the same version concurrently."""
+        version = self._draw_version()
         bodies = [self._make_body(version), self._make_body(version)]
-        await asyncio.gather(*(self._put(version, body) for body in bodies))
+        await asyncio.gather(*(self._send_change(version, body) for body in bodies))
 
     async def resend_older(self) -> None:
-        """Send an older version again; it changes nothing and is acknowledged."""
-        older = [version for version in self._bodies if version < self.acknowledged]
+        """Resend an older version, which is acknowledged and changes nothing."""
+        older = [
+            version for version in self._bodies if version < self.acknowledged_version
+        ]
         if older:
             version = self._random.choice(older)
             body = self._random.choice(sorted(self._bodies[version]))
-            await self._put(version, body)
+            await self._send_change(version, body)
 
-    def _take_version(self) -> int:
+    def _draw_version(self) -> int:
         version = self._next_version
         self._next_version += self._random.choice((1, 1, 2, 5))
         return version
@@ -100,7 +105,7 @@
         ]
         routes.append(self._route(_EXTRA_HOST, self.extra_target(version)[1], "alpha"))
         services = [{"name": name} for name in ("alpha", "beta")]
-        body = to_json({"version": version, "routes": routes, "services": services})
+        body = encode_json({"version": version, "routes": routes, "services": services})
         self._bodies.setdefault(version, set()).add(body)
         return body
 
@@ -113,81 +118,83 @@
             "service": service,
         }
 
-    async def _put(self, version: int, body: bytes) -> bool:
-        began_s = self._promises.now_s()
+    async def _send_change(self, version: int, body: bytes) -> bool:
+        started_s = self._promises.now_s()
         was_calm = self._promises.is_calm()
-        while self._promises.now_s() - began_s < _GIVE_UP_S:
-            for address in self._control():
+        while self._promises.now_s() - started_s < _RETRY_PERIOD_S:
+            for address in self._control_addresses():
                 reply = await call(address, "PUT", "/api/config", body)
                 if reply.status == 200:
-                    self.acknowledged = max(self.acknowledged, version)
+                    self.acknowledged_version = max(self.acknowledged_version, version)
                     self.change_count += 1
                     return True
                 if 400 <= reply.status < 500:
                     detail = f"version {version}: {reply.status}"
-                    self._promises.broken("a valid change is never refused", detail)
+                    self._promises.record_breach(
+                        "a valid change is never refused", detail
+                    )
                     return False
             await asyncio.sleep(0.1)
-            took_s = self._promises.now_s() - began_s
-            if was_calm and took_s > ACK_BOUND_S and self._promises.is_calm():
-                detail = f"version {version} after {took_s:.1f} s"
-                self._promises.broken("a change is acknowledged in time", detail)
+            elapsed_s = self._promises.now_s() - started_s
+            if was_calm and elapsed_s > ACK_LIMIT_S and self._promises.is_calm():
+                detail = f"version {version} after {elapsed_s:.1f} s"
+                self._promises.record_breach("a change is acknowledged in time", detail)
                 return False
         return False
 
-    # -- evacuations --------------------------------------------------------------
-
     async def evacuate(self, domain: str) -> bool:
-        """Ask for an evacuation until it is acknowledged."""
-        if not await self._order("POST", domain):
+        """Request an evacuation until it is acknowledged; return whether it was."""
+        if not await self._send_evacuation("POST", domain):
             return False
         self.evacuated_s[domain] = self._promises.now_s()
         return True
 
     async def readmit(self, domain: str) -> None:
-        """Take an evacuation back, however long that takes."""
+        """End an evacuation, retrying until it is acknowledged."""
         self.evacuated_s.pop(domain, None)
-        while not await self._order("DELETE", domain):
+        while not await self._send_evacuation("DELETE", domain):
             continue
 
-    async def _order(self, method: str, domain: str) -> bool:
-        until_s = self._promises.now_s() + _GIVE_UP_S
-        while self._promises.now_s() < until_s:
-            for address in self._control():
+    async def _send_evacuation(self, method: str, domain: str) -> bool:
+        deadline_s = self._promises.now_s() + _RETRY_PERIOD_S
+        while self._promises.now_s() < deadline_s:
+            for address in self._control_addresses():
                 reply = await call(address, method, f"/api/evacuation/{domain}")
                 if reply.status == 200:
                     return True
                 if 400 <= reply.status < 500:
                     detail = f"{method} {domain}: {reply.status}"
-                    self._promises.broken("a valid order is never refused", detail)
+                    self._promises.record_breach(
+                        "a valid order is never refused", detail
+                    )
                     return False
             await asyncio.sleep(0.1)
         return False
 
-    # -- reads --------------------------------------------------------------------
-
     async def run_reads(self) -> None:
-        """Read from one instance after the other until cancelled."""
+        """Read from the control instances in turn until cancelled."""
         while True:
-            for address in self._control():
+            for address in self._control_addresses():
                 await self.read(address)
-                await asyncio.sleep(_READ_PAUSE_S)
+                await asyncio.sleep(_READ_INTERVAL_S)
 
     async def read(self, address: str) -> bool:
-        """Read once; return whether the instance was sure."""
-        newest = self.acknowledged
+        """Read and check the configuration; return whether there was one."""
+        min_version = self.acknowledged_version
         reply = await call(address, "GET", "/api/config")
         if reply.status != 200:
             return False
         self.read_count += 1
         version = next(
-            (one for one, bodies in self._bodies.items() if reply.body in bodies), 0
+            (each for each, bodies in self._bodies.items() if reply.body in bodies), 0
         )
         if not version:
-            self._promises.broken("what is read was sent", repr(reply.body[:80]))
-        elif version < newest:
-            detail = f"{version} after {newest} at {address}"
-            self._promises.broken("a read is never older than what was known", detail)
-        elif self._seen.setdefault(version, reply.body) != reply.body:
-            self._promises.broken("a version has one winner", str(version))
+            self._promises.record_breach("what is read was sent", repr(reply.body[:80]))
+        elif version < min_version:
+            detail = f"{version} after {min_version} at {address}"
+            self._promises.record_breach(
+                "a read is never older than what was known", detail
+            )
+        elif self._bodies_read.setdefault(version, reply.body) != reply.body:
+            self._promises.record_breach("a version has one winner", str(version))
         return True
--- a/soak/promises.py
+++ b/soak/promises.py
@@ -1,13 +1,12 @@
-"""What must hold, and what was seen to be broken.
+"""Records breaches of the promises that the system makes to its users.
 
-Promises with a time bound are judged only while nothing is disturbed, as the users do:
-some seconds after the end of the last fault.
+A promise with a time limit is checked only in calm, some seconds after the last fault.
 """
 
 import asyncio
 from dataclasses import dataclass, field
 
-#: After the last fault, before bounded promises are judged again.
+#: Time after the last fault until promises with a time limit are checked again.
 CALM_AFTER_S = 4.0
 
 
@@ -21,32 +20,32 @@
 
 
 @dataclass
-class Promises:
-    """Breaches so far, and when the last fault ended."""
+class PromiseMonitor:
+    """The recorded breaches, the active faults and the time of the last fault."""
 
     breaches: list[Breach] = field(default_factory=list)
-    active: set[str] = field(default_factory=set)
+    active_faults: set[str] = field(default_factory=set)
     last_fault_s: float = float("-inf")
     started_s: float = 0.0
 
     def now_s(self) -> float:
-        """Read the clock of the run."""
+        """Return the time since the start of the run."""
         return asyncio.get_running_loop().time() - self.started_s
 
-    def begin(self, fault: str) -> None:
-        """Note that a fault begins."""
-        self.active.add(fault)
+    def begin_fault(self, fault: str) -> None:
+        """Record the start of a fault."""
+        self.active_faults.add(fault)
         self.last_fault_s = self.now_s()
 
-    def end(self, fault: str) -> None:
-        """Note that a fault has ended."""
-        self.active.discard(fault)
+    def end_fault(self, fault: str) -> None:
+        """Record the end of a fault."""
+        self.active_faults.discard(fault)
         self.last_fault_s = self.now_s()
 
-    def is_calm(self, for_s: float = CALM_AFTER_S) -> bool:
-        """Tell whether nothing has been disturbed for some time."""
-        return not self.active and self.now_s() - self.last_fault_s >= for_s
+    def is_calm(self, duration_s: float = CALM_AFTER_S) -> bool:
+        """Return whether there has been no fault for some time."""
+        return not self.active_faults and self.now_s() - self.last_fault_s >= duration_s
 
-    def broken(self, promise: str, detail: str) -> None:
-        """Note a breach."""
+    def record_breach(self, promise: str, detail: str) -> None:
+        """Record a breach."""
         self.breaches.append(Breach(round(self.now_s(), 3), promise, detail))
--- a/soak/run.py
+++ b/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of the soak: rounds of faults, each followed by calm."""
+"""Runs the soak test: rounds of faults, each followed by checks in calm."""
 
 import asyncio
 import random
@@ -6,27 +6,27 @@
 from dataclasses import asdict, dataclass, field
 from pathlib import Path
 
-from soak.addresses import draw_addresses
+from soak.addresses import claim_addresses
 from soak.backend import BackendServer
 from soak.callers import Caller, Router, Tally
-from soak.faults import FaultMaker
+from soak.faults import FaultInjector
 from soak.fleet import Fleet
 from soak.mesh import Mesh
 from soak.operator import Operator
-from soak.promises import Promises
+from soak.promises import PromiseMonitor
 
-#: After the last fault of a round, before service and changes are measured: an instance
-#: with a lost disk votes again, and servers that were silent report again.
+#: Time from the last fault of a round to the checks: an instance with a lost disk can
+#: vote again by then, and all backend servers have reported again.
 _RECOVERY_S = 8.0
 _CALM_S = 4.0
-#: Share of the requests begun in calm that have to be served.
-_LEAST_SERVED = 0.98
+#: Minimum share of the requests started in calm that are served.
+_MIN_SERVED_SHARE = 0.98
 _START_LIMIT_S = 20.0
 
 
 @dataclass(frozen=True, slots=True)
-class Size:
-    """How much takes part."""
+class RunSize:
+    """Numbers of the participants in a run."""
 
     control_count: int = 3
     entry_count: int = 4
@@ -37,7 +37,7 @@
 
 @dataclass
 class Report:
-    """What a run did and found."""
+    """Statistics and breaches of a run."""
 
     seed: int
     rounds: int = 0
@@ -52,26 +52,26 @@
 
 
 class Soak:
-    """Everything that takes part in a run.
+    """A run of the soak test with all its participants.
 
     Parameters
     ----------
     folder : Path
-        For logs, settings and disks.
+        Directory for logs, settings and disks.
     seed : int
-        Of every draw; the order of events still differs from run to run.
-    size : Size
-        How much takes part.
+        Seed of the random numbers; the order of events still varies between runs.
+    size : RunSize
+        Numbers of the participants.
     sources : Path
-        Checkout that the programs are run from.
+        Checkout from which the programs are run.
     """
 
-    def __init__(self, folder: Path, seed: int, size: Size, sources: Path):
+    def __init__(self, folder: Path, seed: int, size: RunSize, sources: Path):
         self._random = random.Random(seed)
         self._size = size
         self.report = Report(seed)
-        self.promises = Promises()
-        addresses = draw_addresses(seed)
+        self.promises = PromiseMonitor()
+        addresses = claim_addresses(seed)
         self.fleet = Fleet(
             folder,
             addresses,
@@ -80,15 +80,15 @@
             size.losses_borne,
             sources,
         )
-        self.mesh = Mesh(addresses, seed, self.fleet.pid_of)
-        self.operator = Operator(self._control, self.promises, seed)
+        self.mesh = Mesh(addresses, seed, self.fleet.find_pid)
+        self.operator = Operator(self._control_addresses, self.promises, seed)
         self.servers = [
             BackendServer(
                 number,
                 "beta" if number % 3 == 0 else "alpha",
                 addresses,
-                self._control,
-                self.operator.allows,
+                self._control_addresses,
+                self.operator.can_route,
                 self.operator.evacuated_s,
                 self.promises,
             )
@@ -108,123 +108,133 @@
             )
             for number in range(1, size.caller_count + 1)
         ]
-        self.faults = FaultMaker(
+        self.faults = FaultInjector(
             self.fleet, self.mesh, self.servers, self.operator, self.promises, seed
         )
         self._tasks: list[asyncio.Task] = []
 
-    def _control(self) -> list[str]:
-        numbers = [one.number for one in self.fleet.of_role("control")]
+    def _control_addresses(self) -> list[str]:
+        numbers = [machine.number for machine in self.fleet.machines_of_role("control")]
         self._random.shuffle(numbers)
         addresses = self.fleet.addresses
-        return [f"{addresses.advertised(one)}:{addresses.api}" for one in numbers]
+        return [f"{addresses.advertised(number)}:{addresses.api}" for number in numbers]
 
     def _find_run(self, run_id: str) -> BackendServer | None:
-        return next((one for one in self.servers if one.run_id == run_id), None)
-
-    def _spawn(self, work: Coroutine) -> None:
-        self._tasks.append(asyncio.ensure_future(work))
+        return next(
+            (server for server in self.servers if server.run_id == run_id), None
+        )
 
-    # -- a run --------------------------------------------------------------------
+    def _start_task(self, coroutine: Coroutine) -> None:
+        self._tasks.append(asyncio.ensure_future(coroutine))
 
-    async def play(self, for_s: float) -> Report:
-        """Play rounds for some time.
+    async def run(self, duration_s: float) -> Report:
+        """Run rounds of faults and checks.
 
         Parameters
         ----------
-        for_s : float
-            Least time; the round under way is played to its end.
+        duration_s : float
+            Minimum duration; the last round is completed.
 
         Returns
         -------
         Report
-            With all breaches.
+            The report, with all breaches.
         """
         self.promises.started_s = asyncio.get_running_loop().time()
         try:
             await self._start()
-            while self.promises.now_s() < for_s:
-                await self._play_round()
+            while self.promises.now_s() < duration_s:
+                await self._run_round()
         finally:
-            await self._end()
+            await self._shut_down()
             self.fleet.addresses.claim.close()
         self._fill_report()
         return self.report
 
     async def _start(self) -> None:
-        self.promises.begin("start")
+        self.promises.begin_fault("start")
         await self.mesh.open(list(self.fleet.machines))
         for machine in self.fleet.machines.values():
             self.fleet.start(machine)
-        self._spawn(self.fleet.watch())
-        self._spawn(self.router.run())
+        self._start_task(self.fleet.supervise())
+        self._start_task(self.router.run())
         if not await self.operator.change():
-            self.promises.broken("it starts", "the first change was not taken")
+            self.promises.record_breach(
+                "it starts", "the first change was not acknowledged"
+            )
         for server in self.servers:
             await server.start()
-        until_s = self.promises.now_s() + _START_LIMIT_S
+        deadline_s = self.promises.now_s() + _START_LIMIT_S
         while len(self.router.in_rotation()) < self._size.entry_count:
             await asyncio.sleep(0.1)
-            if self.promises.now_s() > until_s:
+            if self.promises.now_s() > deadline_s:
                 break
         await asyncio.sleep(1.0)
         for caller in self.callers:
-            self._spawn(caller.run())
-        self._spawn(self.operator.run_reads())
-        self.promises.end("start")
+            self._start_task(caller.run())
+        self._start_task(self.operator.run_reads())
+        self.promises.end_fault("start")
 
-    async def _play_round(self) -> None:
+    async def _run_round(self) -> None:
         self.report.rounds += 1
-        series = [self._play_series() for _ in range(self._random.choice((1, 1, 2, 3)))]
+        fault_series = [
+            self._run_fault_series() for _ in range(self._random.choice((1, 1, 2, 3)))
+        ]
         domain, *_ = await asyncio.gather(
             self.faults.evacuate(),
-            *series,
-            self._change_meanwhile(),
-            self.faults.send_foreign(),
+            *fault_series,
+            self._send_changes(),
+            self.faults.send_invalid_reports(),
         )
         await asyncio.sleep(_RECOVERY_S)
-        # Still evacuated: only in calm a late flow is a breach.
+        # Readmitted after the check, because late flows are breaches only in calm.
         await self._check_calm()
         await self.operator.readmit(domain)
 
-    async def _play_series(self) -> None:
+    async def _run_fault_series(self) -> None:
         for _ in range(self._random.choice((1, 2, 3))):
-            await self.faults.draw()
+            await self.faults.inject_random()
             await asyncio.sleep(self._random.choice((0.0, 0.2, 1.0)))
 
-    async def _change_meanwhile(self) -> None:
+    async def _send_changes(self) -> None:
         for _ in range(self._random.choice((1, 2, 4))):
             await self.operator.change()
             await asyncio.sleep(self._random.uniform(0.1, 1.0))
 
     async def _check_calm(self) -> None:
-        began_s = self.promises.now_s()
+        started_s = self.promises.now_s()
         version = await self.operator.change()
         if not version:
-            self.promises.broken("a change is acknowledged in time", "in calm")
+            self.promises.record_breach("a change is acknowledged in time", "in calm")
         await asyncio.sleep(_CALM_S)
-        sure = [await self.operator.read(one) for one in self._control()]
-        if not any(sure):
-            self.promises.broken("what is in force can be read", "nobody was sure")
-        share, count = self.tally.share_served(began_s, began_s + _CALM_S - 1)
+        read = [
+            await self.operator.read(address) for address in self._control_addresses()
+        ]
+        if not any(read):
+            self.promises.record_breach(
+                "what is in force can be read", "no instance returned a configuration"
+            )
+        share, count = self.tally.served_share_between(
+            started_s, started_s + _CALM_S - 1
+        )
         self.report.calm_share = min(self.report.calm_share, round(share, 4))
-        if share < _LEAST_SERVED or not count:
+        if share < _MIN_SERVED_SHARE or not count:
             detail = f"{share:.3f} of {count}"
-            self.promises.broken("in calm, requests are served", detail)
+            self.promises.record_breach("in calm, requests are served", detail)
         if version:
             await self._check_in_force(version)
 
     async def _check_in_force(self, version: int) -> None:
         target = self.operator.extra_target(version)
         for number in self.router.in_rotation():
-            if not await self.callers[0].opens_through(number, target):
+            if not await self.callers[0].can_open_through(number, target):
                 detail = f"version {version} at instance {number}"
-                self.promises.broken("a change is in force everywhere", detail)
+                self.promises.record_breach("a change is in force everywhere", detail)
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         for task in self._tasks:
             task.cancel()
-        self.fleet.end_all()
+        self.fleet.kill_all()
         for server in self.servers:
             server.crash()
         await self.mesh.close()
@@ -232,11 +242,11 @@
     def _fill_report(self) -> None:
         report = self.report
         report.took_s = round(self.promises.now_s(), 1)
-        share, report.requests = self.tally.share_served(0, report.took_s)
+        share, report.requests = self.tally.served_share_between(0, report.took_s)
         report.served_share = round(share, 4)
         report.changes = self.operator.change_count
         report.reads = self.operator.read_count
         report.faults = dict(sorted(self.faults.counts.items()))
-        for detail in self.fleet.exits:
-            self.promises.broken("no process ends by itself", detail)
+        for detail in self.fleet.unexpected_exits:
+            self.promises.record_breach("no process ends by itself", detail)
         report.breaches = [asdict(breach) for breach in self.promises.breaches]
--- a/soak/wire.py
+++ b/soak/wire.py
@@ -1,4 +1,4 @@
-"""Packets and calls as the ends of the users' platform write them."""
+"""Encodes packets and sends calls as the platform's callers and servers do."""
 
 import asyncio
 import json
@@ -8,18 +8,18 @@
 
 from agatethread.settings import parse_address
 
-#: label, source, its port, destination's port, destination, flags, pad, length, sum,
-#: sequence, acknowledged
+#: Fields: label, source, source port, destination port, destination, flags, pad,
+#: length, sum, sequence, acknowledged.
 _HEADER = struct.Struct("!IIHHIBBHIII")
-_RUN = struct.Struct("!Q")
+_RUN_NUMBER = struct.Struct("!Q")
 SYN, RST, ACK, FIN = 1, 8, 16, 32
 _CALL_TIMEOUT_S = 1.0
-_MOST_REDIRECTS = 2
+_MAX_REDIRECTS = 2
 
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """A packet, decoded."""
+    """A decoded packet."""
 
     label: int
     source: tuple[int, int]
@@ -31,7 +31,7 @@
 
 
 def encode(segment: Segment) -> bytes:
-    """Write a packet; its checksum is not used here."""
+    """Encode a packet, without a checksum."""
     return (
         _HEADER.pack(
             segment.label,
@@ -51,54 +51,51 @@
 
 
 def decode(data: bytes) -> Segment:
-    """Read a packet."""
+    """Decode a packet."""
     label, src, sport, dport, dst, flags, _, _, _, seq, ack = _HEADER.unpack_from(data)
     payload = data[_HEADER.size :]
     return Segment(label, (src, sport), (dst, dport), flags, seq, ack, payload)
 
 
 def decode_for_run(data: bytes) -> tuple[int, Segment]:
-    """Read the number of the run that a datagram is for, and the packet in it."""
-    return _RUN.unpack_from(data)[0], decode(data[_RUN.size :])
+    """Decode a datagram to a backend server: the number of its run and the packet."""
+    return _RUN_NUMBER.unpack_from(data)[0], decode(data[_RUN_NUMBER.size :])
 
 
 def host_number(host: str) -> int:
-    """Read an IP number as packets carry it."""
+    """Return an IPv4 address as the integer that packets carry."""
     return int(IPv4Address(host))
 
 
-# -- calls ------------------------------------------------------------------------
-
-
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer to a call; status 0 if there was none."""
+    """The reply to a call; status 0 if there was none."""
 
     status: int
     body: bytes = b""
 
 
 async def call(address: str, method: str, path: str, body: bytes = b"") -> Reply:
-    """Make a call, following redirects.
+    """Send a call, following redirects.
 
     Parameters
     ----------
     address : str
         ``IP:port``.
     method, path : str
-        Of the call.
+        Method and path of the call.
     body : bytes, optional
-        JSON.
+        JSON body.
 
     Returns
     -------
     Reply
-        What was answered in time.
+        The reply, with status 0 after an error or a timeout.
     """
-    for _ in range(_MOST_REDIRECTS + 1):
+    for _ in range(_MAX_REDIRECTS + 1):
         try:
-            work = _call_once(address, method, path, body)
-            status, headers, answer = await asyncio.wait_for(work, _CALL_TIMEOUT_S)
+            coroutine = _call_once(address, method, path, body)
+            status, headers, answer = await asyncio.wait_for(coroutine, _CALL_TIMEOUT_S)
         except (OSError, TimeoutError, ValueError, asyncio.IncompleteReadError):
             return Reply(0)
         if status != 307:
@@ -128,6 +125,6 @@
         writer.close()
 
 
-def to_json(data: dict) -> bytes:
-    """Write a body."""
+def encode_json(data: dict) -> bytes:
+    """Encode a JSON body."""
     return json.dumps(data).encode()
