--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""The whole path on one computer, with a summary at the end."""
+"""Demo of a whole fleet on one machine."""
--- a/demo/run.py
+++ b/demo/run.py
@@ -1,4 +1,4 @@
-"""Start a fleet, make things happen to it, and say which promises were kept."""
+"""Runs a fleet under load with a crash, a drain and a change, and prints a summary."""
 
 import argparse
 import sys
@@ -18,69 +18,69 @@
 
 @dataclass
 class Summary:
-    """What was measured and which promises were broken."""
+    """Measured values and broken promises."""
 
     lines: list[str] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
 
     def add(self, label: str, value: Any) -> None:
-        """Add a line.
+        """Add a measured value.
 
         Parameters
         ----------
         label : str
-            What was measured.
+            Description of the value.
         value : object
-            The figure.
+            The value.
         """
         self.lines.append(f"{label:<44} {value}")
 
-    def require(self, kept: bool, promise: str) -> None:
-        """Note a promise that was not kept.
+    def require(self, is_kept: bool, promise: str) -> None:
+        """Record a promise if it is broken.
 
         Parameters
         ----------
-        kept : bool
-            Whether it was.
+        is_kept : bool
+            Whether the promise was kept.
         promise : str
-            The promise.
+            Description of the promise.
         """
-        if not kept:
+        if not is_kept:
             self.broken.append(promise)
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     print(f"[demo] {text}", flush=True)
 
 
 def _wait_for_streams(fleet: Fleet) -> None:
-    wanted = sum(service.stream_count for service in fleet.layout.services.values())
+    expected = sum(service.stream_count for service in fleet.layout.services.values())
 
     def all_open() -> bool:
         counts = fleet.command("caller")["counts"]
-        return counts.get("streams_opened", 0) >= wanted
+        return counts.get("streams_opened", 0) >= expected
 
     fleet.wait_for(all_open, "the streams", timeout_s=20.0)
 
 
-def _make_things_happen(fleet: Fleet, summary: Summary) -> None:
+def _inject_events(fleet: Fleet, summary: Summary) -> None:
     service = next(iter(fleet.layout.services))
-    _say("all streams are open; load runs")
+    _print_progress("all streams are open; load runs")
     time.sleep(3)
 
-    victim = fleet.names("entry")[1]
-    _say(f"killing entry instance {victim}")
-    fleet.kill(victim)
+    instance = fleet.names("entry")[1]
+    _print_progress(f"killing entry instance {instance}")
+    fleet.kill(instance)
     time.sleep(3)
 
     endpoint = f"{service}-3"
-    _say(f"draining endpoint {endpoint}")
-    code, _, errors = fleet.ctl("drain", endpoint)
+    _print_progress(f"draining endpoint {endpoint}")
+    code, _, errors = fleet.run_ctl("drain", endpoint)
     summary.require(code == 0, f"drain is accepted ({errors.strip()})")
     drained_s = time.time()
 
-    _say(f"applying version 2 of the document of {service}")
-    in_force_s = _apply_in_force(fleet, service)
+    _print_progress(f"applying version 2 of the document of {service}")
+    in_force_s = _apply_and_wait(fleet, service)
     summary.add("seconds until the document was in force", f"{in_force_s:.3f}")
     summary.require(in_force_s <= _IN_FORCE_LIMIT_S, "a document is soon in force")
     time.sleep(5)
@@ -91,11 +91,11 @@
     summary.require(late_s <= _NEW_WORK_LIMIT_S, "a drained endpoint gets no new work")
 
 
-def _apply_in_force(fleet: Fleet, service: str) -> float:
-    # The killed instance never acknowledges; it is not among those waited for.
-    path = fleet.document(service, 2, note="applied by the demo")
+def _apply_and_wait(fleet: Fleet, service: str) -> float:
+    # Waits for the running instances only, since the killed one never acknowledges.
+    path = fleet.write_document(service, 2, note="applied by the demo")
     started_s = time.monotonic()
-    code, _, errors = fleet.ctl("apply", path)
+    code, _, errors = fleet.run_ctl("apply", path)
     if code != 0:
         raise RuntimeError(errors)
 
@@ -118,7 +118,9 @@
     return f"{max(values) * len(values) / sum(values):.3f}"
 
 
-def _report(fleet: Fleet, summary: Summary, streams: dict[str, dict[str, int]]) -> None:
+def _summarize(
+    fleet: Fleet, summary: Summary, streams: dict[str, dict[str, int]]
+) -> None:
     caller = fleet.result("caller")
     backends = [fleet.result(name) for name in fleet.names("backend")]
     counts = Counter(caller["counts"])
@@ -128,16 +130,20 @@
     summary.add("requests answered", counts["requests_answered"])
     summary.add("requests refused, not run", counts["requests_refused"])
     summary.add("requests unknown", counts["requests_unknown"])
-    summary.add("answer time p50 / p99 (ms)", _percentiles(caller["latency_ms"]))
+    summary.add("answer time p50 / p99 (ms)", _format_percentiles(caller["latency_ms"]))
 
     runs: Counter[str] = Counter()
     for backend in backends:
         runs.update(backend["runs"])
-    doubles = [name for name, count in runs.items() if count > 1 and name[0] == "n"]
+    repeated_runs = [
+        name for name, count in runs.items() if count > 1 and name[0] == "n"
+    ]
     false_refusals = [name for name in caller["refused"] if runs[name]]
     unserved = [name for name in caller["answered"] if not runs[name]]
-    misdelivered = sum(Counter(b["counts"])["misdelivered"] for b in backends)
-    summary.add("doubles", len(doubles))
+    misdelivered = sum(
+        Counter(backend["counts"])["misdelivered"] for backend in backends
+    )
+    summary.add("doubles", len(repeated_runs))
     summary.add("refusals that were not true", len(false_refusals))
     summary.add("misdelivered packets", misdelivered)
     for service, loads in streams.items():
@@ -154,22 +160,22 @@
     summary.require(not counts["streams_broken"], "no stream breaks")
     summary.require(not counts["pushes_wrong"], "pushes come in order")
     summary.require(not counts["answers_wrong"], "each gets its own answer")
-    summary.require(not doubles, "non-idempotent requests run at most once")
+    summary.require(not repeated_runs, "non-idempotent requests run at most once")
     summary.require(not false_refusals, "refusals are true")
     summary.require(not unserved, "answered requests have run")
     summary.require(not misdelivered, "no packet reaches another service")
     summary.require(counts["requests_answered"] > 0, "requests are answered")
 
 
-def _percentiles(latency_ms: dict[str, float]) -> str:
+def _format_percentiles(latency_ms: dict[str, float]) -> str:
     return f"{latency_ms['50']:.1f} / {latency_ms['99']:.1f}"
 
 
 def _stream_loads(fleet: Fleet) -> dict[str, dict[str, int]]:
     loads: dict[str, dict[str, int]] = {name: {} for name in fleet.layout.services}
     for name in fleet.names("backend"):
-        answer = fleet.command(name)
-        loads[answer["service"]][name] = answer["open_streams"]
+        reply = fleet.command(name)
+        loads[reply["service"]][name] = reply["open_streams"]
     return loads
 
 
@@ -179,27 +185,27 @@
     Parameters
     ----------
     layout : str
-        A name in `LAYOUTS`.
+        Name of a layout in `LAYOUTS`.
     folder : Path
-        For settings and logs.
+        Directory for settings and logs.
 
     Returns
     -------
     int
-        Exit code: 0, or 1 if a promise was broken.
+        Exit code, 1 if a promise was broken.
     """
     started_s = time.monotonic()
     summary = Summary()
     fleet = Fleet(LAYOUTS[layout], folder)
     try:
-        _say(f"starting {len(fleet.nodes)} processes, layout {layout}")
+        _print_progress(f"starting {len(fleet.nodes)} processes, layout {layout}")
         fleet.start_all()
         _wait_for_streams(fleet)
         loads = _stream_loads(fleet)
-        _make_things_happen(fleet, summary)
+        _inject_events(fleet, summary)
     finally:
         fleet.stop_all()
-    _report(fleet, summary, loads)
+    _summarize(fleet, summary, loads)
     summary.add("seconds in all", f"{time.monotonic() - started_s:.1f}")
     print("\n".join(summary.lines))
     for promise in summary.broken:
--- a/scripts/known_red.py
+++ b/scripts/known_red.py
@@ -1,7 +1,7 @@
-"""Passes over the failures of a test run that KNOWN-RED.txt lists, and no others.
+"""Checks that all failures of a test run are listed in KNOWN-RED.txt.
 
-``known_red.py LOG`` reads what ``make test`` printed. An entry begins at the start of a
-line with a test's full name; indented lines below it say how it was seen.
+``known_red.py LOG`` reads the output of ``make test``. An entry starts with the full
+name of a test at the start of a line; its other lines are indented.
 """
 
 import re
@@ -9,40 +9,40 @@
 from pathlib import Path
 
 _FAILURE = re.compile(r"^(?:FAIL|ERROR): \S+ \((\S+?)\)", re.MULTILINE)
-#: The runner counts as many as it names, or something failed outside a test.
+#: The summary line of a run with failed tests.
 _COUNTS = re.compile(r"^FAILED \((.*)\)$", re.MULTILINE)
 
 
-def listed(text: str) -> set[str]:
-    """List the tests that are known to fail.
+def parse_known_failures(text: str) -> set[str]:
+    """Return the tests that are listed as failing.
 
     Parameters
     ----------
     text : str
-        Content of the file.
+        Content of KNOWN-RED.txt.
 
     Returns
     -------
     set of str
-        Full names.
+        Full names of tests.
     """
     lines = (line for line in text.splitlines() if line and not line[0].isspace())
     return {line.split()[0] for line in lines if not line.startswith("#")}
 
 
-def failures(log: str) -> set[str]:
-    """List the tests that failed.
+def find_failures(log: str) -> set[str]:
+    """Return the tests that failed.
 
     Parameters
     ----------
     log : str
-        What the runner printed.
+        Output of the test runner.
 
     Returns
     -------
     set of str
-        Full names; with ``(not a test)`` among them if the run did not end as a run
-        of tests does.
+        Full names of tests; includes ``(not a test)`` if the log has no failed test or
+        no summary line.
     """
     failed = set(_FAILURE.findall(log))
     if not failed or not _COUNTS.search(log):
@@ -51,14 +51,14 @@
 
 
 def main() -> int:
-    """Run from the command line; return the exit code."""
+    """Print the failed tests; return 1 if one of them is not listed, else 0."""
     root = Path(__file__).parent.parent
-    known = listed((root / "KNOWN-RED.txt").read_text())
-    failed = failures(Path(sys.argv[1]).read_text(errors="replace"))
+    known_failures = parse_known_failures((root / "KNOWN-RED.txt").read_text())
+    failed = find_failures(Path(sys.argv[1]).read_text(errors="replace"))
     for name in sorted(failed):
-        word = "known red" if name in known else "FAILED"
-        sys.stdout.write(f"{word}: {name}\n")
-    return 0 if failed <= known else 1
+        status = "known red" if name in known_failures else "FAILED"
+        sys.stdout.write(f"{status}: {name}\n")
+    return 0 if failed <= known_failures else 1
 
 
 if __name__ == "__main__":
--- a/scripts/settings_page.py
+++ b/scripts/settings_page.py
@@ -1,4 +1,4 @@
-"""Write the settings reference from the checked data classes."""
+"""Generates the settings reference from the settings data classes."""
 
 import dataclasses
 import inspect
@@ -26,7 +26,7 @@
     "policies": Policies,
     "parts": Parts,
 }
-#: A field's line in the source of its class, and in the docstring's attributes.
+#: A field in the source of its class, and in the attributes of the docstring.
 _FIELD = re.compile(r"    (\w+): ")
 _ATTRIBUTE = re.compile(r"    (\w+) : ")
 _NOTES = {
@@ -43,7 +43,7 @@
 }
 
 
-def _default(field: dataclasses.Field) -> str:
+def _format_default(field: dataclasses.Field) -> str:
     if field.default is not dataclasses.MISSING:
         return f"`{field.default!r}`"
     if field.default_factory is not dataclasses.MISSING:
@@ -51,16 +51,16 @@
     return "required"
 
 
-def _rule(field: dataclasses.Field) -> str:
-    rules = field.metadata
-    off = f"off: {rules['off']}" if "off" in rules else ""
-    if "minimum" in rules:
+def _format_limits(field: dataclasses.Field) -> str:
+    metadata = field.metadata
+    off_text = f"off: {metadata['off']}" if "off" in metadata else ""
+    if "minimum" in metadata:
         unit = unit_of(field.name)
-        allowed = f"{rules['minimum']} to {rules['maximum']} {unit}".strip()
-        return f"{allowed}; {off}" if off else allowed
-    if "choices" in rules:
-        return ", ".join(rules["choices"])
-    return "`IPv4:port`" if rules.get("address") else unit_of(field.name) or off
+        allowed = f"{metadata['minimum']} to {metadata['maximum']} {unit}".strip()
+        return f"{allowed}; {off_text}" if off_text else allowed
+    if "choices" in metadata:
+        return ", ".join(metadata["choices"])
+    return "`IPv4:port`" if metadata.get("address") else unit_of(field.name) or off_text
 
 
 def _type_name(hint: object) -> str:
@@ -70,8 +70,8 @@
 
 
 def _purposes(data_class: type) -> dict[str, str]:
-    """Find what each field is for: its comment, or its entry in the docstring."""
-    found: dict[str, str] = {}
+    """Return the purpose of each field, from its comment or the docstring."""
+    purposes: dict[str, str] = {}
     comment: list[str] = []
     attribute = ""
     for line in inspect.getsource(data_class).splitlines():
@@ -79,22 +79,24 @@
             comment.append(line.removeprefix("    #:").strip())
         elif match := _FIELD.match(line):
             if comment:
-                found[match[1]] = " ".join(comment)
+                purposes[match[1]] = " ".join(comment)
             comment, attribute = [], ""
         elif match := _ATTRIBUTE.match(line):
             attribute = match[1]
         elif attribute and line.startswith("        "):
-            found[attribute] = f"{found.get(attribute, '')} {line.strip()}".strip()
-    return found
+            purposes[attribute] = (
+                f"{purposes.get(attribute, '')} {line.strip()}".strip()
+            )
+    return purposes
 
 
 def make_page() -> str:
-    """Make the page.
+    """Return the settings reference.
 
     Returns
     -------
     str
-        Markdown.
+        The page in Markdown.
     """
     lines = ["# Settings", "", "Made by `scripts/settings_page.py`.", ""]
     for part, data_class in _PARTS.items():
@@ -105,9 +107,15 @@
         purposes = _purposes(data_class)
         hints = get_type_hints(data_class)
         for field in dataclasses.fields(data_class):
-            kind = _type_name(hints[field.name]).replace("|", "or")
+            type_name = _type_name(hints[field.name]).replace("|", "or")
             purpose = purposes.get(field.name, "").replace("|", "or")
-            cells = [f"`{field.name}`", kind, _default(field), _rule(field), purpose]
+            cells = [
+                f"`{field.name}`",
+                type_name,
+                _format_default(field),
+                _format_limits(field),
+                purpose,
+            ]
             lines.append(f"| {' | '.join(cells)} |")
         lines.append("")
     return "\n".join(lines)
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform: fabric, link, backend servers and callers."""
+"""Stand-ins for the platform: fabric, links, backend servers and callers."""
--- a/standins/backend_server.py
+++ b/standins/backend_server.py
@@ -1,7 +1,7 @@
 """Stand-in backend server.
 
-It has slots, a connection limit, drain, cold start, shedding, deadlines, cancellation,
-and pushes on its streams.
+Supports slots, a connection limit, drain, cold start, shedding, deadlines, cancellation
+and pushes on streams.
 """
 
 import argparse
@@ -21,9 +21,9 @@
 
 Address = tuple[str, int]
 
-_PUSH_RESEND_S = 0.3
-#: How long an answer that nobody acknowledged is sent again.
-_ANSWER_KEPT_S = 5.0
+_RESEND_INTERVAL_S = 0.3
+#: Period in which an unacknowledged answer is resent.
+_ANSWER_RESEND_PERIOD_S = 5.0
 _STREAM_IDLE_S = 30.0
 _SHED_RETRY_MS = 50
 
@@ -34,11 +34,11 @@
         self.cookie = cookie
         self.sequence = 0
         self.unacknowledged: dict[int, bytes] = {}
-        self.heard_s = time.monotonic()
+        self.last_received_s = time.monotonic()
 
 
 class BackendServer(asyncio.DatagramProtocol):
-    """Serves one service at one address.
+    """Serves a service at an address.
 
     Parameters
     ----------
@@ -54,33 +54,31 @@
         self._incarnation = time.time_ns()
         self._instances = [parse_address(text) for text in settings["instances"]]
         self._fallbacks: list[Address] = []
-        self._acknowledged_s = time.monotonic()
+        self._last_ack_s = time.monotonic()
         self._streams: dict[int, _Stream] = {}
         self._running: dict[tuple[bytes, int], asyncio.Task] = {}
-        self._unreceived: dict[tuple[bytes, int], tuple[list[bytes], float]] = {}
+        self._pending_answers: dict[tuple[bytes, int], tuple[list[bytes], float]] = {}
         self._outbox = Outbox()
         self._assembler = Assembler(time.monotonic, 256 << 20, 256 << 20)
-        self._seen: set[tuple[bytes, int]] = set()
+        self._seen_requests: set[tuple[bytes, int]] = set()
         self._sequence = 0
         self._draining = False
         self._started_s = time.monotonic()
         self._sheds_all = False
-        self._lie: dict[str, int] | None = None
-        self._new_work: list[float] = []
+        self._announcement_overrides: dict[str, int] | None = None
+        self._new_work_times_s: list[float] = []
         self.runs: Counter[str] = Counter()
         self.counts: Counter[str] = Counter()
 
     def connection_made(self, transport: asyncio.DatagramTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         self._transport = transport
 
     def error_received(self, exc: OSError) -> None:
-        """Ignore what could not be delivered."""
-
-    # -- announcements ------------------------------------------------------------
+        """Ignore undeliverable datagrams."""
 
     def announce(self, leaving: bool = False) -> None:
-        """Tell one or two entry instances of this backend server."""
+        """Send an announcement to one or two entry instances."""
         self._sequence += 1
         settings = self._settings
         announcement = Announcement(
@@ -97,7 +95,7 @@
             in_flight=len(self._running),
             sequence=self._sequence,
         )
-        for field, value in (self._lie or {}).items():
+        for field, value in (self._announcement_overrides or {}).items():
             setattr(announcement, field, value)
         if settings["announce_key"]:
             body = announcement.SerializeToString(deterministic=True)
@@ -107,41 +105,39 @@
             self._transport.sendto(envelope.SerializeToString(), target)
 
     async def announce_forever(self) -> None:
-        """Announce at the interval."""
+        """Send announcements periodically."""
         while True:
             self.announce()
             await asyncio.sleep(self._settings["announce_interval_ms"] / 1000)
 
-    def _on_acknowledged(self, envelope: Envelope) -> None:
-        near = [parse_address(text) for text in envelope.instances]
-        far = [parse_address(text) for text in envelope.fallback_instances]
-        self._instances = near or far
-        self._fallbacks = far
-        self._acknowledged_s = time.monotonic()
+    def _on_announce_ack(self, envelope: Envelope) -> None:
+        own_domain = [parse_address(text) for text in envelope.instances]
+        other_domains = [parse_address(text) for text in envelope.fallback_instances]
+        self._instances = own_domain or other_domains
+        self._fallbacks = other_domains
+        self._last_ack_s = time.monotonic()
 
     def _announce_targets(self) -> list[Address]:
         count = min(2, len(self._instances))
         targets = self._random.sample(self._instances, count)
         interval_s = self._settings["announce_interval_ms"] / 1000
-        if time.monotonic() - self._acknowledged_s > 1.5 * interval_s:
+        if time.monotonic() - self._last_ack_s > 1.5 * interval_s:
             targets += self._fallbacks
         return targets
 
-    # -- datagrams ----------------------------------------------------------------
-
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Serve one datagram."""
+        """Handle a datagram."""
         envelope = Envelope.FromString(data)
         kind = envelope.kind
         if kind == Kind.MISSING:
             self._on_missing(envelope, addr)
             return
         if kind == Kind.RECEIVED:
-            self._unreceived.pop((envelope.operation_id, envelope.attempt), None)
+            self._pending_answers.pop((envelope.operation_id, envelope.attempt), None)
             return
         if kind == Kind.ANNOUNCE_ACK:
             if envelope.incarnation == self._incarnation:
-                self._on_acknowledged(envelope)
+                self._on_announce_ack(envelope)
             return
         if envelope.service != self._settings["service"]:
             self.counts["misdelivered"] += 1
@@ -182,13 +178,13 @@
 
     def _on_open(self, envelope: Envelope, addr: Address) -> None:
         if envelope.flow_id not in self._streams:
-            full = len(self._streams) >= self._settings["connection_limit"]
-            if full:
+            is_full = len(self._streams) >= self._settings["connection_limit"]
+            if is_full:
                 self.counts["over_connection_limit"] += 1
-            if full or self._draining or self._sheds_all:
+            if is_full or self._draining or self._sheds_all:
                 self._reply(envelope, addr, Kind.SHED, retry_after_ms=_SHED_RETRY_MS)
                 return
-            self._new_work.append(time.time())
+            self._new_work_times_s.append(time.time())
             self._streams[envelope.flow_id] = _Stream(
                 envelope.return_label, envelope.cookie
             )
@@ -197,7 +193,7 @@
 
     def _on_stream(self, envelope: Envelope, addr: Address) -> None:
         stream = self._streams[envelope.flow_id]
-        stream.heard_s = time.monotonic()
+        stream.last_received_s = time.monotonic()
         stream.label = envelope.return_label
         if envelope.kind == Kind.CLOSE:
             del self._streams[envelope.flow_id]
@@ -211,21 +207,21 @@
             self.counts["data"] += 1
 
     async def push_forever(self) -> None:
-        """Push a number to every stream at the interval."""
+        """Push a sequence number to all streams periodically."""
         while True:
             await asyncio.sleep(self._settings["push_interval_ms"] / 1000)
             for flow_id, stream in list(self._streams.items()):
                 stream.sequence += 1
                 stream.unacknowledged[stream.sequence] = str(stream.sequence).encode()
                 self._push(flow_id, stream, stream.sequence)
-                if time.monotonic() - stream.heard_s > _STREAM_IDLE_S:
+                if time.monotonic() - stream.last_received_s > _STREAM_IDLE_S:
                     del self._streams[flow_id]
                     self.counts["streams_idle"] += 1
 
     async def resend_forever(self) -> None:
-        """Push again what was not acknowledged, through another instance."""
+        """Resend unacknowledged answers and pushes through random instances."""
         while True:
-            await asyncio.sleep(_PUSH_RESEND_S)
+            await asyncio.sleep(_RESEND_INTERVAL_S)
             self._resend_answers()
             for flow_id, stream in list(self._streams.items()):
                 for sequence in list(stream.unacknowledged)[:8]:
@@ -234,21 +230,23 @@
 
     def _resend_answers(self) -> None:
         now_s = time.monotonic()
-        for key, (answer, until_s) in list(self._unreceived.items()):
-            if until_s < now_s:
-                del self._unreceived[key]
+        for key, (answer, expiry_s) in list(self._pending_answers.items()):
+            if expiry_s < now_s:
+                del self._pending_answers[key]
                 continue
             self._transport.sendto(answer[0], self._random.choice(self._instances))
 
     def _on_missing(self, envelope: Envelope, addr: Address) -> None:
-        answer, _ = self._unreceived.get(
+        answer, _ = self._pending_answers.get(
             (envelope.operation_id, envelope.attempt), ([], 0.0)
         )
-        wanted = [answer[index] for index in envelope.missing if index < len(answer)]
-        self._outbox.send_paced(wanted, lambda data: self._transport.sendto(data, addr))
+        fragments = [answer[index] for index in envelope.missing if index < len(answer)]
+        self._outbox.send_paced(
+            fragments, lambda data: self._transport.sendto(data, addr)
+        )
 
-    async def ask_for_missing_forever(self) -> None:
-        """Ask for fragments of requests that did not arrive."""
+    async def request_missing_forever(self) -> None:
+        """Request missing fragments of requests periodically."""
         while True:
             await asyncio.sleep(0.05)
             for partial, indices in self._assembler.take_quiet():
@@ -274,30 +272,28 @@
         target = self._random.choice(self._instances)
         self._transport.sendto(push.SerializeToString(), target)
 
-    # -- requests -----------------------------------------------------------------
-
     def _on_request(self, envelope: Envelope, addr: Address) -> None:
         key = (envelope.operation_id, envelope.attempt)
-        if key in self._seen:
+        if key in self._seen_requests:
             self.counts["copies"] += 1
             return
-        whole = self._assembler.add(key, pack_address(addr), envelope)
-        if whole is None:
+        request = self._assembler.add(key, pack_address(addr), envelope)
+        if request is None:
             return
-        envelope = whole
-        self._seen.add(key)
-        over = len(self._running) >= self._settings["slots"]
-        if over:
+        envelope = request
+        self._seen_requests.add(key)
+        has_no_free_slot = len(self._running) >= self._settings["slots"]
+        if has_no_free_slot:
             self.counts["over_slots"] += 1
-        if over or self._draining or self._sheds_all:
+        if has_no_free_slot or self._draining or self._sheds_all:
             self.counts["shed"] += 1
             self._reply(envelope, addr, Kind.SHED, retry_after_ms=_SHED_RETRY_MS)
             return
-        self._new_work.append(time.time())
-        work = self._work(envelope, addr, key)
-        self._running[key] = asyncio.ensure_future(work)
+        self._new_work_times_s.append(time.time())
+        coroutine = self._run_request(envelope, addr, key)
+        self._running[key] = asyncio.ensure_future(coroutine)
 
-    async def _work(
+    async def _run_request(
         self, envelope: Envelope, addr: Address, key: tuple[bytes, int]
     ) -> None:
         self.runs[envelope.payload.partition(b"\0")[0].decode()] += 1
@@ -311,7 +307,10 @@
                 await asyncio.sleep(self._random.uniform(0.5, 1.5) * mean_s)
             payload = b"done:" + envelope.payload
             answer = self._reply(envelope, addr, Kind.ANSWER, payload=payload)
-            self._unreceived[key] = (answer, time.monotonic() + _ANSWER_KEPT_S)
+            self._pending_answers[key] = (
+                answer,
+                time.monotonic() + _ANSWER_RESEND_PERIOD_S,
+            )
         except TimeoutError:
             self.counts["deadline_passed"] += 1
         finally:
@@ -323,10 +322,8 @@
             self.counts["cancelled"] += 1
             task.cancel()
 
-    # -- control ------------------------------------------------------------------
-
     def on_command(self, command: dict[str, Any]) -> Any:
-        """Change behaviour, or tell the counts.
+        """Change the behaviour and return the counts.
 
         Parameters
         ----------
@@ -337,33 +334,35 @@
         Returns
         -------
         dict
-            Counts, runs by operation, and times of the last new work.
+            The counts, operations that ran twice, and the time of the last new work.
         """
         if "drain" in command:
             self._draining = command["drain"]
             self.announce()
         self._sheds_all = command.get("sheds_all", self._sheds_all)
         if "lie" in command:
-            self._lie = command["lie"]
+            self._announcement_overrides = command["lie"]
         return self.result()
 
     def result(self) -> dict[str, Any]:
-        """Give the counts so far."""
+        """Return the counts."""
         return {
             "name": self._settings["name"],
             "service": self._settings["service"],
             "counts": dict(self.counts),
             "open_streams": len(self._streams),
             "doubled": [name for name, count in self.runs.items() if count > 1][:20],
-            "last_new_work_s": self._new_work[-1] if self._new_work else 0.0,
+            "last_new_work_s": self._new_work_times_s[-1]
+            if self._new_work_times_s
+            else 0.0,
         }
 
     async def stop(self) -> None:
-        """Finish what runs, say goodbye and write the result."""
+        """Finish running requests, announce the end and write the result."""
         self._draining = True
         self.announce()
-        while self._running or self._unreceived:
-            await asyncio.sleep(_PUSH_RESEND_S / 10)
+        while self._running or self._pending_answers:
+            await asyncio.sleep(_RESEND_INTERVAL_S / 10)
             self._resend_answers()
         self.announce(leaving=True)
         result = self.result() | {"runs": dict(self.runs)}
@@ -379,12 +378,12 @@
     stopped = asyncio.Event()
     loop.add_signal_handler(signal.SIGTERM, stopped.set)
     tasks = [
-        asyncio.ensure_future(work)
-        for work in (
+        asyncio.ensure_future(coroutine)
+        for coroutine in (
             server.announce_forever(),
             server.push_forever(),
             server.resend_forever(),
-            server.ask_for_missing_forever(),
+            server.request_missing_forever(),
         )
     ]
     await stopped.wait()
--- a/standins/caller.py
+++ b/standins/caller.py
@@ -1,4 +1,4 @@
-"""Stand-in caller: holds streams open and sends requests beside them."""
+"""Stand-in caller: keeps streams open and sends requests."""
 
 import argparse
 import asyncio
@@ -21,11 +21,11 @@
 )
 from standins.commands import serve_commands
 
-_LONGEST_US = 60_000_000
+_MAX_LATENCY_US = 60_000_000
 
 
 class Caller:
-    """A population of callers behind a few sockets.
+    """Simulates many callers with a few sockets.
 
     Parameters
     ----------
@@ -38,17 +38,17 @@
         self._settings = settings
         self.counts: Counter[str] = Counter()
         self.reasons: Counter[str] = Counter()
-        self._latency_us = HdrHistogram(1, _LONGEST_US, 3)
-        self._opened_us = HdrHistogram(1, _LONGEST_US, 3)
-        self._answered: list[str] = []
-        self._refused: list[str] = []
-        self._unknown: list[str] = []
+        self._latency_us = HdrHistogram(1, _MAX_LATENCY_US, 3)
+        self._open_time_us = HdrHistogram(1, _MAX_LATENCY_US, 3)
+        self._answered_requests: list[str] = []
+        self._refused_requests: list[str] = []
+        self._unknown_requests: list[str] = []
         self._tasks: set[asyncio.Task] = set()
         self._clients: list[Client] = []
         self._stopping = False
 
     async def run(self) -> None:
-        """Open the streams and send requests until told to stop."""
+        """Open the streams and start to send requests."""
         addresses = {
             name: service["address"]
             for name, service in self._settings["services"].items()
@@ -59,24 +59,24 @@
         for name, service in self._settings["services"].items():
             for number in range(service["streams"]):
                 client = self._clients[number % len(self._clients)]
-                self._start(self._hold_stream(client, name))
+                self._start_task(self._run_stream(client, name))
                 if number % 16 == 15:
                     await asyncio.sleep(0.01)
             if service["requests_per_s"]:
-                self._start(self._send_requests(name, service))
+                self._start_task(self._send_requests(name, service))
 
-    def _start(self, work) -> None:
-        task = asyncio.ensure_future(work)
+    def _start_task(self, coroutine) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _hold_stream(self, client: Client, service: str) -> None:
+    async def _run_stream(self, client: Client, service: str) -> None:
         started_s = time.monotonic()
         stream = await self._open(client, service)
         if stream is None:
             return
         self.counts["streams_opened"] += 1
-        self._opened_us.record_value(int((time.monotonic() - started_s) * 1e6))
+        self._open_time_us.record_value(int((time.monotonic() - started_s) * 1e6))
         expected = 0
         try:
             async for push in stream:
@@ -109,18 +109,18 @@
             number += 1
             idempotent = (number * share) % 1 < share and share > 0
             client = self._clients[number % len(self._clients)]
-            self._start(self._request(client, name, number, idempotent))
+            self._start_task(self._request(client, name, number, idempotent))
             next_s += interval_s
             await asyncio.sleep(max(0.0, next_s - time.monotonic()))
 
     async def _request(
         self, client: Client, service: str, number: int, idempotent: bool
     ) -> None:
-        sort = "i" if idempotent else "n"
-        label = f"{sort}-{self._settings['name']}-{service}-{number}"
+        prefix = "i" if idempotent else "n"
+        request_name = f"{prefix}-{self._settings['name']}-{service}-{number}"
         timeout_s = self._settings["timeout_s"]
         padding_bytes = self._settings["services"][service].get("upload_bytes", 0)
-        payload = label.encode()
+        payload = request_name.encode()
         if padding_bytes:
             payload += b"\0" + os.urandom(padding_bytes)
         started_s = time.monotonic()
@@ -132,20 +132,20 @@
         except OperationRefusedError as error:
             self.counts["requests_refused"] += 1
             self.reasons[f"refused {error.reason}"] += 1
-            self._refused.append(label)
+            self._refused_requests.append(request_name)
         except (OperationUnknownError, AgatethreadError) as error:
             self.counts["requests_unknown"] += 1
             self.reasons[f"unknown {error}"] += 1
-            self._unknown.append(label)
+            self._unknown_requests.append(request_name)
         else:
             self.counts["requests_answered"] += 1
             if answer != b"done:" + payload:
                 self.counts["answers_wrong"] += 1
-            self._answered.append(label)
+            self._answered_requests.append(request_name)
             self._latency_us.record_value(int((time.monotonic() - started_s) * 1e6))
 
     def result(self) -> dict[str, Any]:
-        """Give the counts so far."""
+        """Return the counts and latencies."""
         return {
             "counts": dict(self.counts),
             "reasons": dict(self.reasons),
@@ -155,20 +155,20 @@
                 for percentile in (50, 90, 99, 100)
             },
             "open_ms": {
-                str(percentile): self._opened_us.get_value_at_percentile(percentile)
+                str(percentile): self._open_time_us.get_value_at_percentile(percentile)
                 / 1000
                 for percentile in (50, 99, 100)
             },
         }
 
     async def stop(self) -> None:
-        """Let the requests end, close the streams and write the result."""
+        """Wait for running requests, close the streams and write the result."""
         self._stopping = True
-        limit_s = time.monotonic() + self._settings["timeout_s"] + 1
-        verdicts = ("requests_answered", "requests_refused", "requests_unknown")
-        while time.monotonic() < limit_s:
+        deadline_s = time.monotonic() + self._settings["timeout_s"] + 1
+        outcomes = ("requests_answered", "requests_refused", "requests_unknown")
+        while time.monotonic() < deadline_s:
             if (
-                sum(self.counts[name] for name in verdicts)
+                sum(self.counts[name] for name in outcomes)
                 >= (self.counts["requests_sent"])
             ):
                 break
@@ -176,9 +176,9 @@
         for client in self._clients:
             client.close()
         result = self.result() | {
-            "answered": self._answered,
-            "refused": self._refused,
-            "unknown": self._unknown,
+            "answered": self._answered_requests,
+            "refused": self._refused_requests,
+            "unknown": self._unknown_requests,
         }
         Path(self._settings["result"]).write_text(json.dumps(result))
 
--- a/standins/commands.py
+++ b/standins/commands.py
@@ -1,4 +1,4 @@
-"""Commands to a running stand-in: one JSON object in a datagram, echoed when done."""
+"""Sends commands to running stand-ins: a JSON object per datagram, with a reply."""
 
 import asyncio
 import json
@@ -9,10 +9,10 @@
 from agatethread.settings import parse_address
 
 _TIMEOUT_S = 1.0
-_TRIES = 5
+_MAX_ATTEMPTS = 5
 
 
-class _CommandPort(asyncio.DatagramProtocol):
+class _CommandProtocol(asyncio.DatagramProtocol):
     def __init__(self, handler: Callable[[dict[str, Any]], Any]):
         self._handler = handler
 
@@ -27,23 +27,23 @@
 async def serve_commands(
     address: str, handler: Callable[[dict[str, Any]], Any]
 ) -> None:
-    """Listen for commands.
+    """Serve commands at an address.
 
     Parameters
     ----------
     address : str
         ``IP:port``.
     handler : callable
-        Takes a command and returns what to answer.
+        Executes a command and returns the reply.
     """
     loop = asyncio.get_running_loop()
     await loop.create_datagram_endpoint(
-        lambda: _CommandPort(handler), local_addr=parse_address(address)
+        lambda: _CommandProtocol(handler), local_addr=parse_address(address)
     )
 
 
 def send_command(address: str, **command: Any) -> Any:
-    """Send a command and wait for its answer.
+    """Send a command and return the reply.
 
     Parameters
     ----------
@@ -55,19 +55,19 @@
     Returns
     -------
     object
-        The answer.
+        The reply.
 
     Raises
     ------
     TimeoutError
-        If there is none.
+        If there is no reply.
     """
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as port:
-        port.settimeout(_TIMEOUT_S)
-        for _ in range(_TRIES):
-            port.sendto(json.dumps(command).encode(), parse_address(address))
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
+        sock.settimeout(_TIMEOUT_S)
+        for _ in range(_MAX_ATTEMPTS):
+            sock.sendto(json.dumps(command).encode(), parse_address(address))
             try:
-                return json.loads(port.recv(65_536))
+                return json.loads(sock.recv(65_536))
             except TimeoutError:
                 continue
     raise TimeoutError(f"{address} does not answer")
--- a/standins/fabric.py
+++ b/standins/fabric.py
@@ -1,7 +1,7 @@
-"""Stand-in fabric: hands each packet of a caller to any live entry instance.
+"""Stand-in fabric: forwards each packet of a caller to a random live entry instance.
 
-Each caller gets a socket of its own towards the instances, so that they see one address
-for each caller and may all answer to it. Instances are probed, as a fabric would.
+Each caller gets a separate socket towards the instances, so that each instance can
+answer to its address. The fabric probes the instances.
 """
 
 import argparse
@@ -19,8 +19,8 @@
 Address = tuple[str, int]
 
 _PROBE_INTERVAL_S = 0.1
-_MISSES_TO_REMOVE = 3
-_BATCH = 64
+_MAX_MISSED_PROBES = 3
+_BATCH_SIZE = 64
 
 
 def open_socket(address: Address) -> socket.socket:
@@ -29,36 +29,36 @@
     Parameters
     ----------
     address : tuple of (str, int)
-        Where to bind.
+        Address to bind.
 
     Returns
     -------
     socket.socket
         The socket.
     """
-    opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    opened.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
-    opened.setblocking(False)
-    opened.bind(address)
-    return opened
+    sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4 << 20)
+    sock.setblocking(False)
+    sock.bind(address)
+    return sock
 
 
-def read_batch(opened: socket.socket):
-    """Read what has arrived at a socket.
+def read_batch(sock: socket.socket):
+    """Read a batch of received datagrams.
 
     Parameters
     ----------
-    opened : socket.socket
+    sock : socket.socket
         The socket.
 
     Yields
     ------
     tuple of (bytes, tuple)
-        Datagram and source.
+        Datagram and source address.
     """
-    for _ in range(_BATCH):
+    for _ in range(_BATCH_SIZE):
         try:
-            yield opened.recvfrom(2_048)
+            yield sock.recvfrom(2_048)
         except ConnectionError:
             continue
         except OSError:
@@ -66,7 +66,7 @@
 
 
 class Fabric:
-    """Sprays packets over the instances that answer its probes.
+    """Distributes packets at random over the instances that answer probes.
 
     Parameters
     ----------
@@ -83,112 +83,121 @@
             name: parse_address(address)
             for name, address in settings["instances"].items()
         }
-        self._misses = dict.fromkeys(self._instances, _MISSES_TO_REMOVE)
-        self._leaving: set[str] = set()
+        self._missed_probes = dict.fromkeys(self._instances, _MAX_MISSED_PROBES)
+        self._draining: set[str] = set()
         self._withheld: set[str] = set()
         self._live: list[Address] = []
-        self._loss = 0.0
-        self._duplicate = 0.0
+        self._loss_probability = 0.0
+        self._duplicate_probability = 0.0
         self._callers: dict[tuple[Address, str], socket.socket] = {}
         self._services = {
             name: open_socket(parse_address(address))
             for name, address in settings["services"].items()
         }
-        self._prober = open_socket(("127.0.0.1", 0))
-        for name, opened in self._services.items():
-            self._loop.add_reader(opened.fileno(), self._from_callers, name, opened)
-        self._loop.add_reader(self._prober.fileno(), self._on_probe_answers)
+        self._probe_socket = open_socket(("127.0.0.1", 0))
+        for name, sock in self._services.items():
+            self._loop.add_reader(sock.fileno(), self._forward_from_callers, name, sock)
+        self._loop.add_reader(self._probe_socket.fileno(), self._read_probe_answers)
 
     async def probe_forever(self) -> None:
-        """Probe the instances and drop those that are silent or leaving."""
+        """Probe the instances and remove those that are unreachable or draining."""
         while True:
             for number, name in enumerate(self._instances):
-                self._misses[name] += 1
+                self._missed_probes[name] += 1
                 probe = Envelope(kind=Kind.PROBE, sequence=number)
                 target = self._instances[name]
-                self._prober.sendto(probe.SerializeToString(), target)
+                self._probe_socket.sendto(probe.SerializeToString(), target)
             self._update_live()
             await asyncio.sleep(_PROBE_INTERVAL_S)
 
-    def _on_probe_answers(self) -> None:
+    def _read_probe_answers(self) -> None:
         by_address = {address: name for name, address in self._instances.items()}
-        for data, source in read_batch(self._prober):
+        for data, source in read_batch(self._probe_socket):
             name = by_address.get(source)
             if name is None:
                 continue
-            self._misses[name] = 0
+            self._missed_probes[name] = 0
             if Envelope.FromString(data).reason == Reason.DRAINING:
-                self._leaving.add(name)
+                self._draining.add(name)
             else:
-                self._leaving.discard(name)
+                self._draining.discard(name)
         self._update_live()
 
     def _update_live(self) -> None:
         self._live = [
             address
             for name, address in self._instances.items()
-            if self._misses[name] <= _MISSES_TO_REMOVE
-            and name not in self._leaving
+            if self._missed_probes[name] <= _MAX_MISSED_PROBES
+            and name not in self._draining
             and name not in self._withheld
         ]
 
-    def _from_callers(self, service: str, opened: socket.socket) -> None:
-        for data, caller in read_batch(opened):
-            outer = self._callers.get((caller, service))
-            if outer is None:
-                outer = self._add_caller(caller, service)
+    def _forward_from_callers(self, service: str, sock: socket.socket) -> None:
+        for data, caller in read_batch(sock):
+            instance_socket = self._callers.get((caller, service))
+            if instance_socket is None:
+                instance_socket = self._add_caller(caller, service)
             if not self._live:
                 continue
-            self._deliver(outer, data, self._random.choice(self._live))
-            if self._random.random() < self._duplicate:
-                self._deliver(outer, data, self._random.choice(self._live))
+            self._deliver(instance_socket, data, self._random.choice(self._live))
+            if self._random.random() < self._duplicate_probability:
+                self._deliver(instance_socket, data, self._random.choice(self._live))
 
     def _add_caller(self, caller: Address, service: str) -> socket.socket:
-        outer = open_socket(("127.0.0.1", 0))
-        self._callers[caller, service] = outer
-        inner = self._services[service]
+        instance_socket = open_socket(("127.0.0.1", 0))
+        self._callers[caller, service] = instance_socket
+        service_socket = self._services[service]
         self._loop.add_reader(
-            outer.fileno(), self._from_instances, outer, inner, caller
+            instance_socket.fileno(),
+            self._forward_from_instances,
+            instance_socket,
+            service_socket,
+            caller,
         )
-        return outer
+        return instance_socket
 
-    def _from_instances(
-        self, outer: socket.socket, inner: socket.socket, caller: Address
+    def _forward_from_instances(
+        self,
+        instance_socket: socket.socket,
+        service_socket: socket.socket,
+        caller: Address,
     ) -> None:
-        for data, _ in read_batch(outer):
-            self._deliver(inner, data, caller)
+        for data, _ in read_batch(instance_socket):
+            self._deliver(service_socket, data, caller)
 
-    def _deliver(self, opened: socket.socket, data: bytes, target: Address) -> None:
-        if self._random.random() < self._loss:
+    def _deliver(self, sock: socket.socket, data: bytes, target: Address) -> None:
+        if self._random.random() < self._loss_probability:
             return
         if not self._delay_s:
-            self._send(opened, data, target)
+            self._send(sock, data, target)
             return
-        self._loop.call_later(self._delay_s, self._send, opened, data, target)
+        self._loop.call_later(self._delay_s, self._send, sock, data, target)
 
     @staticmethod
-    def _send(opened: socket.socket, data: bytes, target: Address) -> None:
+    def _send(sock: socket.socket, data: bytes, target: Address) -> None:
         try:
-            opened.sendto(data, target)
+            sock.sendto(data, target)
         except OSError:
             return
 
     def on_command(self, command: dict[str, Any]) -> Any:
-        """Change how packets are treated.
+        """Change which packets are dropped, duplicated or withheld.
 
         Parameters
         ----------
         command : dict
             ``loss``, ``duplicate``: probabilities; ``withheld``: names of instances
-            that get nothing; all optional.
+            that receive no packets; all optional.
 
         Returns
         -------
         dict
-            How many instances are live.
+            The number of live instances.
         """
-        self._loss = command.get("loss", self._loss)
-        self._duplicate = command.get("duplicate", self._duplicate)
+        self._loss_probability = command.get("loss", self._loss_probability)
+        self._duplicate_probability = command.get(
+            "duplicate", self._duplicate_probability
+        )
         self._withheld = set(command.get("withheld", self._withheld))
         self._update_live()
         return {"live": len(self._live)}
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -1,4 +1,4 @@
-"""Run a whole fleet as separate processes on the loopback addresses."""
+"""Runs a fleet as separate processes on loopback addresses."""
 
 import asyncio
 import json
@@ -14,7 +14,7 @@
 from agatethread.cli import ControlTarget, dump_instance
 from agatethread.exceptions import UnavailableError
 from standins.commands import send_command
-from standins.fleet_settings import ChangedSettings, FleetSettings
+from standins.fleet_settings import FleetSettings, SettingsOverrides
 from standins.layouts import Layout, ServiceLayout
 
 _ROOT = Path(__file__).resolve().parent.parent
@@ -24,18 +24,18 @@
 
 
 class Fleet:
-    """Writes settings into a folder and starts, stops and kills processes.
+    """Writes settings into a folder, and starts, stops and kills processes.
 
     Parameters
     ----------
     layout : Layout
-        Where everything stands.
+        The layout of the fleet.
     folder : Path
-        For settings, logs, data and results.
+        Directory for settings, logs, data and results.
     seed : int, default=1
-        Of all the stand-ins.
+        Seed of the stand-ins.
     entry_settings, control_settings, caller_settings, backend_settings : dict, optional
-        Replace single settings of each such process.
+        Settings that override the defaults of all processes of a kind.
     """
 
     def __init__(
@@ -51,18 +51,16 @@
         self.layout = layout
         self.folder = folder
         self.processes: dict[str, subprocess.Popen] = {}
-        self._lacking: list[str] = []
-        changes = ChangedSettings(
+        self._missing: list[str] = []
+        overrides = SettingsOverrides(
             entry_settings or {},
             control_settings or {},
             caller_settings or {},
             backend_settings or {},
         )
-        written = FleetSettings(layout, folder, seed, changes)
-        self.nodes = written.nodes
-        self._admin = written.admin
-
-    # -- processes ----------------------------------------------------------------
+        fleet_settings = FleetSettings(layout, folder, seed, overrides)
+        self.nodes = fleet_settings.nodes
+        self._admin_addresses = fleet_settings.admin_addresses
 
     def start(self, *names: str) -> None:
         """Start processes.
@@ -84,7 +82,7 @@
                 )
 
     def start_all(self, with_caller: bool = True) -> None:
-        """Start the fleet, have its documents accepted, then start the callers.
+        """Start the fleet, apply its documents, then start the callers.
 
         Parameters
         ----------
@@ -93,43 +91,43 @@
         """
         self.start(*(name for name in self.nodes if name != "caller"))
         for service in self.layout.services:
-            self.apply(service, 1)
+            self.apply_document(service, 1)
         self.wait_for(self._all_ready, "the fleet")
         if with_caller:
             self.start("caller")
 
     def _all_ready(self) -> bool:
-        self._lacking = [
-            f"{name}: {lack}"
+        self._missing = [
+            f"{name}: {missing}"
             for name in self.names("entry")
-            if (lack := self._lack(self.dump(name)))
+            if (missing := self._describe_missing(self.dump(name)))
         ]
-        return not self._lacking
+        return not self._missing
 
-    def _lack(self, state: dict[str, Any] | None) -> str:
-        """Say what an instance still waits for, or nothing."""
+    def _describe_missing(self, state: dict[str, Any] | None) -> str:
+        """Return what an instance still lacks, or an empty string."""
         if state is None:
             return "does not answer"
         entry = state["entry"]
         services = self.layout.services.values()
-        wanted = {
+        expected = {
             "documents": len(services),
             "members": self.layout.entry_count,
             "endpoints": sum(service.endpoint_count for service in services),
         }
-        found = {
+        actual = {
             "documents": len(entry["documents"]),
             "members": sum(not member["joining"] for member in entry["members"]),
             "endpoints": entry["endpoints_total"],
         }
         return ", ".join(
-            f"{found[name]} of {count} {name}"
-            for name, count in wanted.items()
-            if found[name] < count
+            f"{actual[name]} of {count} {name}"
+            for name, count in expected.items()
+            if actual[name] < count
         )
 
     def names(self, kind: str) -> list[str]:
-        """List the nodes of a kind.
+        """Return the names of the nodes of a kind.
 
         Parameters
         ----------
@@ -139,24 +137,24 @@
         Returns
         -------
         list of str
-            Names.
+            The names.
         """
         return [node.name for node in self.nodes.values() if node.kind == kind]
 
     def signal(self, name: str, number: int) -> None:
-        """Send a signal to a process that this fleet started.
+        """Send a signal to a process.
 
         Parameters
         ----------
         name : str
-            The process.
+            Name of the process.
         number : int
-            The signal.
+            Number of the signal.
         """
         self.processes[name].send_signal(number)
 
     def kill(self, name: str) -> None:
-        """Kill a process at once.
+        """Kill a process and wait for its exit.
 
         Parameters
         ----------
@@ -167,7 +165,7 @@
         self.processes[name].wait()
 
     def stop(self, *names: str) -> None:
-        """Stop processes gracefully and wait for their end.
+        """Stop processes gracefully and wait for their exit.
 
         Parameters
         ----------
@@ -180,7 +178,7 @@
             self.processes[name].wait(_STOP_TIMEOUT_S)
 
     def stop_all(self) -> None:
-        """End everything: callers and backend servers with their results."""
+        """Stop callers and backend servers gracefully, and kill the others."""
         running = [
             name for name, process in self.processes.items() if process.poll() is None
         ]
@@ -193,47 +191,47 @@
                     self.signal(name, signal.SIGCONT)
                     self.kill(name)
 
-    # -- questions ----------------------------------------------------------------
-
     def command(self, name: str, **command: Any) -> Any:
         """Send a command to a stand-in.
 
         Parameters
         ----------
         name : str
-            The stand-in.
+            Name of the stand-in.
         **command
-            The command.
+            Fields of the command.
 
         Returns
         -------
         object
-            Its answer.
+            The reply.
         """
-        return send_command(self.nodes[name].control_port, **command)
+        return send_command(self.nodes[name].command_address, **command)
 
     @property
     def target(self) -> ControlTarget:
-        """The control instances, for calls from this process."""
-        addresses = tuple(self._admin[name] for name in self.names("control"))
+        """Return the control instances as the target of calls."""
+        addresses = tuple(self._admin_addresses[name] for name in self.names("control"))
         return ControlTarget(addresses, _READY_TIMEOUT_S)
 
-    def ctl(self, *arguments: str, timeout_s: float = 10.0) -> tuple[int, str, str]:
-        """Run the operators' command.
+    def run_ctl(self, *arguments: str, timeout_s: float = 10.0) -> tuple[int, str, str]:
+        """Run the operators' command line tool.
 
         Parameters
         ----------
         *arguments : str
-            Its arguments.
+            Arguments of the command.
         timeout_s : float, default=10.0
-            Its time limit.
+            Timeout of the command.
 
         Returns
         -------
         tuple of (int, str, str)
-            Exit code, output, errors.
+            Exit code, standard output and standard error.
         """
-        control = ",".join(self._admin[name] for name in self.names("control"))
+        control = ",".join(
+            self._admin_addresses[name] for name in self.names("control")
+        )
         command = (
             sys.executable,
             "-c",
@@ -245,32 +243,32 @@
             str(timeout_s),
             *arguments,
         )
-        done = subprocess.run(
+        completed = subprocess.run(
             command, capture_output=True, text=True, timeout=timeout_s + 20
         )
-        return done.returncode, done.stdout, done.stderr
+        return completed.returncode, completed.stdout, completed.stderr
 
     def dump(self, name: str) -> dict[str, Any] | None:
-        """Read a process's state.
+        """Return the state of an instance.
 
         Parameters
         ----------
         name : str
-            An instance.
+            Name of the instance.
 
         Returns
         -------
         dict or None
-            None if it does not answer.
+            The state, or None if the instance does not answer.
         """
         target = ControlTarget((), _DUMP_TIMEOUT_S)
         try:
-            return asyncio.run(dump_instance(target, self._admin[name]))
+            return asyncio.run(dump_instance(target, self._admin_addresses[name]))
         except UnavailableError:
             return None
 
-    def document(self, service: str, version: int, **fields: Any) -> str:
-        """Write a service document.
+    def write_document(self, service: str, version: int, **fields: Any) -> str:
+        """Write a service document to a file.
 
         Parameters
         ----------
@@ -284,7 +282,7 @@
         Returns
         -------
         str
-            The file.
+            Path of the file.
         """
         urgency = self.layout.services[service].urgency
         data = {"service": service, "version": version, "urgency": urgency} | fields
@@ -292,8 +290,8 @@
         path.write_text("// kept as written\n" + json.dumps(data, indent=2))
         return str(path)
 
-    def apply(self, service: str, version: int, **fields: Any) -> float:
-        """Have a document accepted and wait until it is in force everywhere.
+    def apply_document(self, service: str, version: int, **fields: Any) -> float:
+        """Apply a document and wait until it is in force on all instances.
 
         Parameters
         ----------
@@ -307,65 +305,67 @@
         Returns
         -------
         float
-            Seconds until it was in force.
+            Time until the document was in force, in seconds.
 
         Raises
         ------
         RuntimeError
-            If it was refused or did not come into force.
+            If the document was rejected or is not in force in time.
         """
-        path = self.document(service, version, **fields)
-        code, output, errors = self.ctl(
+        path = self.write_document(service, version, **fields)
+        code, output, errors = self.run_ctl(
             "--json", "apply", path, "--wait-s", "10", timeout_s=20.0
         )
         if code != 0:
             raise RuntimeError(f"{service} version {version}: {output}{errors}")
-        _, _, rest = output.partition("}\n")
-        return json.loads(rest)["in_force_s"]
+        _, _, in_force = output.partition("}\n")
+        return json.loads(in_force)["in_force_s"]
 
-    def wait_for(self, condition, what: str, timeout_s: float = _READY_TIMEOUT_S):
-        """Wait until something holds.
+    def wait_for(
+        self, condition, description: str, timeout_s: float = _READY_TIMEOUT_S
+    ):
+        """Wait until a condition holds.
 
         Parameters
         ----------
         condition : callable
-            Returns whether it does.
-        what : str
-            For the error.
+            Returns whether the condition holds.
+        description : str
+            Description of the condition for the error.
         timeout_s : float
-            Longest time.
+            Timeout in seconds.
 
         Raises
         ------
         TimeoutError
-            If it does not in time.
+            If the condition does not hold in time.
         """
         deadline_s = time.monotonic() + timeout_s
         while not condition():
             if time.monotonic() > deadline_s:
                 raise TimeoutError(
-                    f"{what} not ready after {timeout_s} s; {self._lacking}"
+                    f"{description} not ready after {timeout_s} s; {self._missing}"
                 )
             time.sleep(0.1)
 
     def result(self, name: str) -> dict[str, Any]:
-        """Read what a stopped stand-in wrote.
+        """Return the result of a stopped stand-in.
 
         Parameters
         ----------
         name : str
-            The stand-in.
+            Name of the stand-in.
 
         Returns
         -------
         dict
-            Its result.
+            The result.
         """
         return json.loads((self.folder / f"{name}.result").read_text())
 
 
 def scaled(layout: Layout, **services: ServiceLayout) -> Layout:
-    """Copy a layout with other services.
+    """Return a copy of a layout with other services.
 
     Parameters
     ----------
--- a/standins/fleet_settings.py
+++ b/standins/fleet_settings.py
@@ -1,4 +1,4 @@
-"""Writes the settings of a fleet that runs on the loopback addresses."""
+"""Writes the settings files of a fleet on loopback addresses."""
 
 import itertools
 import json
@@ -15,16 +15,16 @@
 
 @dataclass(frozen=True)
 class Node:
-    """One process of the fleet."""
+    """A process of the fleet."""
 
     name: str
     kind: str
     failure_domain: str
     command: tuple[str, ...]
-    control_port: str = ""
+    command_address: str = ""
 
 
-#: Below the range from which the kernel picks ports for outgoing connections.
+#: Below the ephemeral port range of the kernel.
 _PORTS = itertools.cycle(range(12_000, 30_000))
 next(itertools.islice(_PORTS, random.randrange(18_000), None))
 
@@ -33,8 +33,8 @@
     while True:
         port = next(_PORTS)
         try:
-            for kind in (socket.SOCK_DGRAM, socket.SOCK_STREAM):
-                with socket.socket(socket.AF_INET, kind) as probe:
+            for socket_type in (socket.SOCK_DGRAM, socket.SOCK_STREAM):
+                with socket.socket(socket.AF_INET, socket_type) as probe:
                     probe.bind(("127.0.0.1", port))
         except OSError:
             continue
@@ -42,8 +42,8 @@
 
 
 @dataclass(frozen=True)
-class ChangedSettings:
-    """Single settings that replace those of each process of a kind."""
+class SettingsOverrides:
+    """Settings that override the defaults of all processes of a kind."""
 
     entry: dict[str, Any]
     control: dict[str, Any]
@@ -52,43 +52,43 @@
 
 
 class FleetSettings:
-    """The processes of a fleet, with their settings written into a folder.
+    """The processes of a fleet, whose settings it writes into a folder.
 
     Parameters
     ----------
     layout : Layout
-        Where everything stands.
+        The layout of the fleet.
     folder : Path
-        For settings, logs, data and results.
+        Directory for settings, logs, data and results.
     seed : int
-        Of all the stand-ins.
-    changes : ChangedSettings
-        What differs from the usual.
+        Seed of the stand-ins.
+    overrides : SettingsOverrides
+        Settings that override the defaults.
 
     Attributes
     ----------
     nodes : dict of str to Node
-        The processes by name.
-    admin : dict of str to str
+        Processes by name.
+    admin_addresses : dict of str to str
         gRPC addresses of entry and control instances by name.
     """
 
     def __init__(
-        self, layout: Layout, folder: Path, seed: int, changes: ChangedSettings
+        self, layout: Layout, folder: Path, seed: int, overrides: SettingsOverrides
     ):
         self._layout = layout
         self._folder = folder
         self._seed = seed
-        self._changes = changes
+        self._overrides = overrides
         self.nodes: dict[str, Node] = {}
-        self.admin: dict[str, str] = {}
+        self.admin_addresses: dict[str, str] = {}
         self._link_nodes: list[dict[str, str]] = []
-        self._public: dict[str, str] = {}
-        self._listen: dict[str, str] = {}
+        self._public_addresses: dict[str, str] = {}
+        self._listen_addresses: dict[str, str] = {}
         self._service_addresses = {name: _free_address() for name in layout.services}
         self._write_settings()
 
-    def _domain(self, number: int) -> str:
+    def _failure_domain(self, number: int) -> str:
         return self._layout.domains[number % len(self._layout.domains)]
 
     def _write(self, name: str, data: dict[str, Any]) -> str:
@@ -110,13 +110,15 @@
         self._write_caller()
 
     def _write_control(self) -> None:
-        names = [f"control-{n + 1}" for n in range(self._layout.control_count)]
+        names = [
+            f"control-{number + 1}" for number in range(self._layout.control_count)
+        ]
         members = {name: _free_address() for name in names}
         for number, name in enumerate(names):
-            self.admin[name] = members[name]
+            self.admin_addresses[name] = members[name]
             settings = {
                 "name": name,
-                "failure_domain": self._domain(number),
+                "failure_domain": self._failure_domain(number),
                 "roles": ["control"],
                 "admin": members[name],
                 "plain_text": True,
@@ -124,58 +126,65 @@
                     "data_dir": str(self._folder / f"{name}.data"),
                     "members": members,
                 }
-                | self._changes.control,
+                | self._overrides.control,
             }
             path = self._write(name, settings)
-            self._add_daemon(name, "control", self._domain(number), path)
+            self._add_daemon(name, "control", self._failure_domain(number), path)
 
     def _add_daemon(self, name: str, kind: str, domain: str, path: str) -> None:
         command = (sys.executable, "-m", "agatethread", "--config", path)
         self.nodes[name] = Node(name, kind, domain, command)
 
-    def _public_address(self, name: str, domain: str, real: str) -> str:
-        public = _free_address()
-        self._public[name] = public
-        node = {"name": name, "real": real, "public": public, "failure_domain": domain}
+    def _add_link_node(self, name: str, domain: str, real_address: str) -> str:
+        public_address = _free_address()
+        self._public_addresses[name] = public_address
+        node = {
+            "name": name,
+            "real": real_address,
+            "public": public_address,
+            "failure_domain": domain,
+        }
         self._link_nodes.append(node)
-        return public
+        return public_address
 
     def _write_entries(self) -> None:
-        control = [self.admin[name] for name in self.admin]
-        names = [f"entry-{n + 1}" for n in range(self._layout.entry_count)]
-        inner = {name: _free_address() for name in names}
+        control = [self.admin_addresses[name] for name in self.admin_addresses]
+        names = [f"entry-{number + 1}" for number in range(self._layout.entry_count)]
+        inner_addresses = {name: _free_address() for name in names}
         for number, name in enumerate(names):
-            self._public_address(name, self._domain(number), inner[name])
+            self._add_link_node(
+                name, self._failure_domain(number), inner_addresses[name]
+            )
         for number, name in enumerate(names):
-            self.admin[name] = _free_address()
-            self._listen[name] = _free_address()
+            self.admin_addresses[name] = _free_address()
+            self._listen_addresses[name] = _free_address()
             settings = {
                 "name": name,
-                "failure_domain": self._domain(number),
+                "failure_domain": self._failure_domain(number),
                 "roles": ["entry"],
-                "admin": self.admin[name],
+                "admin": self.admin_addresses[name],
                 "plain_text": True,
                 "entry": {
-                    "listen": self._listen[name],
-                    "inner": inner[name],
-                    "inner_advertised": self._public[name],
-                    "seeds": [self._public[seed] for seed in names[:3]],
+                    "listen": self._listen_addresses[name],
+                    "inner": inner_addresses[name],
+                    "inner_advertised": self._public_addresses[name],
+                    "seeds": [self._public_addresses[seed] for seed in names[:3]],
                     "control": control,
                     "seal_key_file": str(self._folder / "seal.key"),
                     "announce_key_file": str(self._folder / "announce.key"),
                 }
-                | self._changes.entry,
+                | self._overrides.entry,
             }
             path = self._write(name, settings)
-            self._add_daemon(name, "entry", self._domain(number), path)
+            self._add_daemon(name, "entry", self._failure_domain(number), path)
 
     def _write_backend(self, service: str, layout: ServiceLayout, number: int) -> None:
         name = f"{service}-{number + 1}"
-        domain = self._domain(number)
-        listen = _free_address()
-        self._public_address(name, domain, listen)
+        domain = self._failure_domain(number)
+        listen_address = _free_address()
+        self._add_link_node(name, domain, listen_address)
         seeds = [
-            self._public[node.name]
+            self._public_addresses[node.name]
             for node in self.nodes.values()
             if node.kind == "entry" and node.failure_domain == domain
         ]
@@ -183,7 +192,7 @@
             "name": name,
             "service": service,
             "failure_domain": domain,
-            "listen": listen,
+            "listen": listen_address,
             "instances": seeds,
             "slots": layout.slots,
             "connection_limit": layout.connection_limit,
@@ -192,7 +201,7 @@
             "announce_interval_ms": 1000,
             "cold_start_s": 1.0,
             "announce_key": self._announce_key,
-        } | self._changes.backend
+        } | self._overrides.backend
         self._add_standin(name, "backend", domain, "backend_server", settings)
 
     def _add_standin(
@@ -213,7 +222,7 @@
         self._add_standin("link", "link", "", "link", link)
         fabric = {
             "services": self._service_addresses,
-            "instances": self._listen,
+            "instances": self._listen_addresses,
             "delay_ms": self._layout.caller_delay_ms,
         }
         self._add_standin("fabric", "fabric", "", "fabric", fabric)
@@ -235,5 +244,5 @@
             "timeout_s": 5.0,
             "sockets": 8,
             "partner": "",
-        } | self._changes.caller
+        } | self._overrides.caller
         self._add_standin("caller", "caller", "", "caller", settings)
--- a/standins/layouts.py
+++ b/standins/layouts.py
@@ -1,30 +1,30 @@
-"""The users' layouts: where their instances and backend servers stand."""
+"""Layouts of fleets: failure domains, instances, backend servers and load."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True)
 class ServiceLayout:
-    """One service's backend servers and load.
+    """The backend servers and the load of a service.
 
     Attributes
     ----------
     endpoint_count : int
-        Backend servers, dealt out over the failure domains in turn.
+        Number of backend servers, spread evenly over the failure domains.
     urgency : int
-        As in its document.
+        Urgency in the document of the service.
     service_time_ms : float
-        Mean time of a request.
+        Mean duration of a request.
     stream_count : int
-        Streams that the callers hold.
+        Number of streams that the callers keep open.
     requests_per_s : float
-        Requests that the callers send.
+        Rate of requests from the callers.
     idempotent_share : float
-        Share of them that may run twice.
+        Share of idempotent requests.
     slots, connection_limit : int
-        Of each backend server.
+        Limits of each backend server.
     upload_bytes : int
-        Added to each request, and so to its answer.
+        Size of the padding in each request and its answer.
     """
 
     endpoint_count: int
@@ -40,18 +40,18 @@
 
 @dataclass(frozen=True)
 class Layout:
-    """A fleet.
+    """The layout of a fleet.
 
     Attributes
     ----------
     domains : tuple of str
-        Failure domains.
+        Names of the failure domains.
     entry_count, control_count : int
-        Instances, dealt out over the failure domains in turn.
+        Number of instances, spread evenly over the failure domains.
     domain_delay_ms, caller_delay_ms : float
-        One way.
+        One-way delays between failure domains, and between callers and instances.
     services : dict of str to ServiceLayout
-        By name.
+        Services by name.
     """
 
     domains: tuple[str, ...]
--- a/standins/link.py
+++ b/standins/link.py
@@ -1,8 +1,8 @@
-"""Stand-in network between failure domains, for entry instances and backend servers.
+"""Stand-in network between the failure domains of entry instances and backend servers.
 
-Every node has an address here under which the others know it. What one node sends to
-another's address arrives from the sender's own address, later by the distance of their
-failure domains, or not at all if they are cut off from each other.
+Each node has a public address here. A datagram to it is forwarded to the node with the
+sender's public address as source, after the delay between their failure domains, or
+dropped if the domains are cut off from each other.
 """
 
 import argparse
@@ -19,7 +19,7 @@
 
 
 class Link:
-    """Passes datagrams between nodes.
+    """Forwards datagrams between nodes.
 
     Parameters
     ----------
@@ -32,10 +32,10 @@
         self._loop = asyncio.get_running_loop()
         self._random = random.Random(settings["seed"])
         self._delay_s = settings["delay_ms"] / 1000
-        self._loss = 0.0
+        self._loss_probability = 0.0
         self._cuts: set[frozenset[str]] = set()
         self._isolated: set[str] = set()
-        self._bytes: dict[str, int] = {}
+        self._sent_bytes: dict[str, int] = {}
         self._nodes = {
             parse_address(node["real"]): (
                 node["name"],
@@ -44,35 +44,37 @@
             )
             for node in settings["nodes"]
         }
-        for real, (name, domain, opened) in self._nodes.items():
+        for address, (name, domain, sock) in self._nodes.items():
             self._loop.add_reader(
-                opened.fileno(), self._pass, opened, real, name, domain
+                sock.fileno(), self._forward, sock, address, name, domain
             )
 
-    def _pass(self, opened: socket.socket, real: Address, name: str, domain: str):
-        for data, source in read_batch(opened):
+    def _forward(self, sock: socket.socket, address: Address, name: str, domain: str):
+        for data, source in read_batch(sock):
             sender = self._nodes.get(source)
             if sender is None:
                 continue
             sender_name, sender_domain, sender_socket = sender
-            self._bytes[sender_name] = self._bytes.get(sender_name, 0) + len(data)
+            self._sent_bytes[sender_name] = self._sent_bytes.get(sender_name, 0) + len(
+                data
+            )
             if self._is_lost({sender_name, name}, sender_domain, domain):
                 continue
             delay_s = 0.0 if sender_domain == domain else self._delay_s
             if delay_s:
-                self._loop.call_later(delay_s, _send, sender_socket, data, real)
+                self._loop.call_later(delay_s, _send, sender_socket, data, address)
             else:
-                _send(sender_socket, data, real)
+                _send(sender_socket, data, address)
 
     def _is_lost(self, names: set[str], domain: str, other_domain: str) -> bool:
         if names & self._isolated:
             return True
         if frozenset((domain, other_domain)) in self._cuts:
             return True
-        return self._random.random() < self._loss
+        return self._random.random() < self._loss_probability
 
     def on_command(self, command: dict[str, Any]) -> Any:
-        """Change how datagrams are treated.
+        """Change which datagrams are dropped.
 
         Parameters
         ----------
@@ -83,19 +85,19 @@
         Returns
         -------
         dict
-            Bytes sent by each node so far.
+            Number of bytes that each node has sent.
         """
-        self._loss = command.get("loss", self._loss)
+        self._loss_probability = command.get("loss", self._loss_probability)
         if "cuts" in command:
             self._cuts = {frozenset(pair) for pair in command["cuts"]}
         if "isolated" in command:
             self._isolated = set(command["isolated"])
-        return {"bytes": self._bytes}
+        return {"bytes": self._sent_bytes}
 
 
-def _send(opened: socket.socket, data: bytes, target: Address) -> None:
+def _send(sock: socket.socket, data: bytes, target: Address) -> None:
     try:
-        opened.sendto(data, target)
+        sock.sendto(data, target)
     except OSError:
         return
 
--- a/tests/scripts/test_known_red.py
+++ b/tests/scripts/test_known_red.py
@@ -19,23 +19,25 @@
 
 
 class TestKnownRed(unittest.TestCase):
-    def test_failures_are_found(self):
-        """Failures and errors, those of a subtest under its test's name."""
-        failed = SCRIPT["failures"](LOG)
+    def test_finds_failed_tests(self):
+        """Finds failures and errors; those of a subtest have the name of its test."""
+        failed = SCRIPT["find_failures"](LOG)
         self.assertEqual(failed, {"tests.x.TestX.test_a", "tests.y.TestY.test_b"})
 
-    def test_run_that_did_not_end_is_a_failure(self):
-        """A run that was cut short, or never began, passes over nothing."""
+    def test_incomplete_run_is_a_failure(self):
+        """A log without failed tests or a summary line counts as a failure."""
         for log in ("", LOG[:60], LOG.replace("FAILED (", "")):
-            self.assertIn("(not a test)", SCRIPT["failures"](log))
+            self.assertIn("(not a test)", SCRIPT["find_failures"](log))
 
-    def test_entries_are_names_at_the_start_of_a_line(self):
-        """What is said of them is indented."""
+    def test_parses_names_at_start_of_line(self):
+        """Comments and indented lines are ignored."""
         text = "# a remark\ntests.x.TestX.test_a\n    Seen: tests.z.TestZ once.\n\n"
-        self.assertEqual(SCRIPT["listed"](text), {"tests.x.TestX.test_a"})
+        self.assertEqual(SCRIPT["parse_known_failures"](text), {"tests.x.TestX.test_a"})
 
-    def test_each_entry_names_a_test_that_is_there(self):
-        """An entry whose test was renamed would pass over nothing."""
-        for name in SCRIPT["listed"]((ROOT / "KNOWN-RED.txt").read_text()):
+    def test_each_entry_names_an_existing_test(self):
+        """Guards against entries of renamed tests, which have no effect."""
+        for name in SCRIPT["parse_known_failures"](
+            (ROOT / "KNOWN-RED.txt").read_text()
+        ):
             suite = unittest.defaultTestLoader.loadTestsFromName(name)
             self.assertEqual(suite.countTestCases(), 1, name)
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -23,7 +23,7 @@
 
 
 class FleetCase(unittest.TestCase):
-    """A whole fleet of processes under load."""
+    """Base class of tests with a fleet of processes under load."""
 
     def setUp(self):
         folder = tempfile.TemporaryDirectory()
@@ -41,10 +41,10 @@
             state = self.fleet.dump(name)
             if state and service in state["entry"]["dispatches_for"]:
                 return name
-        self.fail(f"nobody dispatches for {service}")
+        self.fail(f"no instance dispatches for {service}")
 
     def finish(self, broken=0):
-        """Stop everything and check what must always hold; return the counts."""
+        """Stop the fleet and check its invariants; return the caller's counts."""
         self.fleet.stop_all()
         caller = self.fleet.result("caller")
         runs, counts = Counter(), Counter()
@@ -52,72 +52,76 @@
             if self.fleet.processes[name].returncode == 0:
                 runs.update(self.fleet.result(name)["runs"])
                 counts.update(self.fleet.result(name)["counts"])
-        doubled = [n for n, times in runs.items() if times > 1 and n[0] == "n"]
+        doubled = [name for name, count in runs.items() if count > 1 and name[0] == "n"]
         self.assertEqual(doubled, [], "ran twice")
-        self.assertEqual([n for n in caller["refused"] if runs[n]], [], "false refusal")
+        self.assertEqual(
+            [name for name in caller["refused"] if runs[name]], [], "false refusal"
+        )
         self.assertEqual(counts["misdelivered"], 0)
-        seen = Counter(caller["counts"])
-        self.assertEqual(seen["answers_wrong"], 0)
-        self.assertEqual(seen["pushes_wrong"], 0)
-        self.assertEqual(seen["streams_broken"], broken, caller["reasons"])
-        self.assertGreater(seen["requests_answered"], 100)
-        return seen
+        caller_counts = Counter(caller["counts"])
+        self.assertEqual(caller_counts["answers_wrong"], 0)
+        self.assertEqual(caller_counts["pushes_wrong"], 0)
+        self.assertEqual(caller_counts["streams_broken"], broken, caller["reasons"])
+        self.assertGreater(caller_counts["requests_answered"], 100)
+        return caller_counts
 
 
 class TestPlannedChanges(FleetCase):
     def test_rolling_restart_with_drain_and_document(self):
-        """Restarting every instance while endpoints drain cuts and loses nothing."""
-        self.assertEqual(self.fleet.ctl("drain", "tab-1")[0], 0)
+        """Restarting all instances during a drain breaks no stream or request."""
+        self.assertEqual(self.fleet.run_ctl("drain", "tab-1")[0], 0)
         for number, name in enumerate(self.fleet.names("entry")):
             self.fleet.stop(name)
             self.assertEqual(self.fleet.processes[name].returncode, 0)
             self.fleet.start(name)
             if number == 1:
-                self.fleet.ctl("apply", self.fleet.document("tab", 2, ramp_s=1.0))
+                self.fleet.run_ctl(
+                    "apply", self.fleet.write_document("tab", 2, ramp_s=1.0)
+                )
             time.sleep(2.5)
         last_s = self.fleet.command("tab-1")["last_new_work_s"]
         self.assertLess(last_s, time.time() - 5)
-        seen = self.finish()
-        self.assertEqual(seen["requests_unknown"], 0)
+        caller_counts = self.finish()
+        self.assertEqual(caller_counts["requests_unknown"], 0)
 
 
 class TestEvacuation(FleetCase):
     def test_evacuated_domain_gets_no_new_work(self):
-        """A failure domain is emptied and filled again, and no caller notices."""
-        inside = [
+        """Evacuating and readmitting a failure domain breaks no stream or request."""
+        evacuated = [
             name
             for name in self.fleet.names("backend")
             if self.fleet.nodes[name].failure_domain == "north"
         ]
 
-        def newest_s():
-            times = [self.fleet.command(name)["last_new_work_s"] for name in inside]
+        def last_new_work_s():
+            times = [self.fleet.command(name)["last_new_work_s"] for name in evacuated]
             return max(times)
 
-        code, _, errors = self.fleet.ctl("evacuate", "north", "--wait-s", "5")
+        code, _, errors = self.fleet.run_ctl("evacuate", "north", "--wait-s", "5")
         self.assertEqual(code, 0, errors)
-        in_force_s = time.time()
+        evacuated_s = time.time()
         time.sleep(3)
-        self.assertLess(newest_s(), in_force_s + 1.0)
-        _, output, _ = self.fleet.ctl("--json", "status")
+        self.assertLess(last_new_work_s(), evacuated_s + 1.0)
+        _, output, _ = self.fleet.run_ctl("--json", "status")
         self.assertEqual(json.loads(output)["evacuated"], ["north"])
-        self.assertEqual(self.fleet.ctl("readmit", "north", "--wait-s", "5")[0], 0)
+        self.assertEqual(self.fleet.run_ctl("readmit", "north", "--wait-s", "5")[0], 0)
         readmitted_s = time.time()
-        self.fleet.wait_for(lambda: newest_s() > readmitted_s, "new work", 5.0)
-        seen = self.finish()
-        self.assertEqual(seen["requests_unknown"], 0)
+        self.fleet.wait_for(lambda: last_new_work_s() > readmitted_s, "new work", 5.0)
+        caller_counts = self.finish()
+        self.assertEqual(caller_counts["requests_unknown"], 0)
 
 
-class TestDeaths(FleetCase):
-    def test_second_death_just_after_the_repair(self):
-        """Two dispatchers killed one after the other break no flow."""
+class TestCrashes(FleetCase):
+    def test_two_dispatcher_crashes_in_sequence(self):
+        """Killing two dispatchers one after the other breaks no flow."""
         for _ in range(2):
             self.fleet.kill(self.dispatcher())
             time.sleep(3)
         self.finish()
 
-    def test_frozen_dispatcher_wakes_up(self):
-        """A dispatcher stopped for seconds and continued runs nothing twice."""
+    def test_frozen_dispatcher_resumes(self):
+        """A dispatcher that resumes after some seconds runs no request twice."""
         name = self.dispatcher()
         self.fleet.signal(name, signal.SIGSTOP)
         time.sleep(5)
@@ -125,8 +129,8 @@
         time.sleep(3)
         self.finish()
 
-    def test_backend_death_breaks_only_its_own(self):
-        """A killed backend server's callers are told; no other flow ends."""
+    def test_backend_crash_breaks_only_its_own_flows(self):
+        """Callers of a killed backend server get resets; no other flow ends."""
         open_count = self.fleet.command("tab-2")["open_streams"]
         self.fleet.kill("tab-2")
         broken = lambda: self.counts()["streams_broken"]  # noqa: E731
@@ -136,25 +140,25 @@
 
 
 class TestLargeMessages(FleetCase):
-    def test_large_messages_come_whole_through_loss(self):
-        """Uploads and answers of 30 KB come whole though packets are lost."""
+    def test_delivers_large_messages_despite_packet_loss(self):
+        """Uploads and answers of 30 KB are complete despite lost packets."""
         self.fleet.command("fabric", loss=0.03, duplicate=0.03)
         self.fleet.command("link", loss=0.005)
         time.sleep(6)
         self.fleet.command("fabric", loss=0.0, duplicate=0.0)
         self.fleet.command("link", loss=0.0)
         time.sleep(2)
-        seen = self.finish()
-        self.assertEqual(seen["answers_wrong"], 0)
-        ran = Counter()
+        caller_counts = self.finish()
+        self.assertEqual(caller_counts["answers_wrong"], 0)
+        run_counts = Counter()
         for name in self.fleet.names("backend"):
-            ran[name.split("-")[0]] += len(self.fleet.result(name)["runs"])
-        self.assertGreater(ran["receipts"], 60)
+            run_counts[name.split("-")[0]] += len(self.fleet.result(name)["runs"])
+        self.assertGreater(run_counts["receipts"], 60)
 
 
-class TestCuts(FleetCase):
-    def test_cut_and_healed_domains(self):
-        """Domains cut off from each other serve on, and healing breaks nothing."""
+class TestPartitions(FleetCase):
+    def test_partition_of_failure_domains_and_recovery(self):
+        """Partitioned domains keep serving, and the recovery breaks no flow."""
         before = self.counts()["requests_answered"]
         self.fleet.command("link", cuts=[["north", "south"]])
         time.sleep(6)
@@ -166,56 +170,62 @@
 
 
 class TestOperators(FleetCase):
-    def ctl(self, *arguments, code=0):
-        got, output, errors = self.fleet.ctl("--json", *arguments)
-        self.assertEqual(got, code, errors)
+    def run_ctl(self, *arguments, code=0):
+        exit_code, output, errors = self.fleet.run_ctl("--json", *arguments)
+        self.assertEqual(exit_code, code, errors)
         return json.loads(output) if output else None
 
-    def test_commands_of_the_operators_pages(self):
-        """Each command does on a fleet under load what its page says."""
-        live = lambda: self.fleet.command("fabric")["live"]  # noqa: E731
-        self.ctl("drain", "entry-2")
-        self.fleet.wait_for(lambda: live() == 3, "the drain", 5.0)
-        dump = self.ctl("dump", "entry-2")
+    def test_operator_commands(self):
+        """The commands have their documented effect on a fleet under load."""
+        live_count = lambda: self.fleet.command("fabric")["live"]  # noqa: E731
+        self.run_ctl("drain", "entry-2")
+        self.fleet.wait_for(lambda: live_count() == 3, "the drain", 5.0)
+        dump = self.run_ctl("dump", "entry-2")
         self.assertEqual(dump["entry"]["dispatches_for"], [])
-        self.ctl("drain", "entry-2", "--undo")
-        self.fleet.wait_for(lambda: live() == 4, "its return", 5.0)
+        self.run_ctl("drain", "entry-2", "--undo")
+        self.fleet.wait_for(lambda: live_count() == 4, "its return", 5.0)
 
-        status = self.ctl("status")
+        status = self.run_ctl("status")
         self.assertEqual(len(status["entry"]), 4)
         self.assertEqual(len(status["control"]), 3)
         self.assertEqual(status["services"], ["receipts", "tab"])
-        self.assertEqual(self.ctl("status", "--wait-s", "5")["laggards"], [])
-
-        path = self.fleet.document("tab", 2)
-        first = self.ctl("apply", path, "--change-id", "ours")
-        self.ctl("apply", self.fleet.document("tab", 3))
-        again = self.ctl("apply", path, "--change-id", "ours")
-        self.assertEqual(again["index"], first["index"])
-        self.ctl("apply", path, "--change-id", "theirs", code=1)
-        got = self.ctl("get", "tab")
-        self.assertEqual(got["text"], Path(self.fleet.document("tab", 3)).read_text())
-        self.ctl("check", "--document", path)
+        self.assertEqual(self.run_ctl("status", "--wait-s", "5")["laggards"], [])
+
+        path = self.fleet.write_document("tab", 2)
+        first = self.run_ctl("apply", path, "--change-id", "ours")
+        self.run_ctl("apply", self.fleet.write_document("tab", 3))
+        repeated = self.run_ctl("apply", path, "--change-id", "ours")
+        self.assertEqual(repeated["index"], first["index"])
+        self.run_ctl("apply", path, "--change-id", "theirs", code=1)
+        document = self.run_ctl("get", "tab")
+        self.assertEqual(
+            document["text"], Path(self.fleet.write_document("tab", 3)).read_text()
+        )
+        self.run_ctl("check", "--document", path)
         self.finish()
 
 
 class TestControl(FleetCase):
-    def test_leader_dies_and_a_frozen_one_returns(self):
-        """Documents go on being accepted, and none reverts when one returns."""
+    def test_documents_survive_crash_and_resumed_control_instance(self):
+        """Documents are still accepted, and a resumed instance reverts none."""
         self.fleet.signal("control-1", signal.SIGSTOP)
-        self.assertLess(self.fleet.apply("tab", 2, note="while one is frozen"), 4)
+        self.assertLess(
+            self.fleet.apply_document("tab", 2, note="while one is frozen"), 4
+        )
         self.fleet.signal("control-1", signal.SIGCONT)
         self.fleet.kill("control-2")
         self.fleet.start("control-2")
         self.fleet.stop("control-3")
         self.assertEqual(self.fleet.processes["control-3"].returncode, 0)
         self.fleet.start("control-3")
-        self.assertLess(self.fleet.apply("tab", 3, note="after both"), 4)
+        self.assertLess(self.fleet.apply_document("tab", 3, note="after both"), 4)
         time.sleep(2)
         for name in self.fleet.names("entry"):
             documents = self.fleet.dump(name)["entry"]["documents"]
             self.assertEqual(documents, {"tab": 3, "receipts": 1})
-        code, _, errors = self.fleet.ctl("apply", self.fleet.document("tab", 3))
+        code, _, errors = self.fleet.run_ctl(
+            "apply", self.fleet.write_document("tab", 3)
+        )
         self.assertEqual(code, 1)
         self.assertIn("conflict", errors)
         self.finish()
