--- a/benchmarks/documents.py
+++ b/benchmarks/documents.py
@@ -76,9 +76,9 @@
     kills = 0
     try:
         fleet.start_all(with_caller=False)
-        target = fleet.target
+        target = fleet.control_target
         first = 2 if service == "tab" else 1
-        entries = fleet.names("entry")
+        entries = fleet.names_of_kind("entry")
         for number in range(changes):
             if number % _KILL_EVERY == _KILL_EVERY // 2:
                 victim = entries[kills % len(entries)]
--- a/benchmarks/faults.py
+++ b/benchmarks/faults.py
@@ -22,8 +22,8 @@
 
 def _dispatcher(fleet: Fleet) -> str:
     service = next(iter(fleet.layout.services))
-    for name in fleet.names("entry"):
-        state = fleet.dump(name)
+    for name in fleet.names_of_kind("entry"):
+        state = fleet.read_state(name)
         if state and service in state["entry"]["dispatches_for"]:
             return name
     raise RuntimeError("nobody dispatches")
@@ -45,20 +45,20 @@
 
 def _freeze_dispatcher(fleet: Fleet) -> None:
     name = _dispatcher(fleet)
-    fleet.signal(name, signal.SIGSTOP)
+    fleet.send_signal(name, signal.SIGSTOP)
     time.sleep(5)
-    fleet.signal(name, signal.SIGCONT)
+    fleet.send_signal(name, signal.SIGCONT)
 
 
 def _kill_backend(fleet: Fleet) -> None:
-    fleet.kill(fleet.names("backend")[0])
+    fleet.kill(fleet.names_of_kind("backend")[0])
 
 
 def _cut_domain(fleet: Fleet) -> None:
     first, *others = fleet.layout.domains
-    fleet.command("link", cuts=[[first, other] for other in others])
+    fleet.send_command("link", cuts=[[first, other] for other in others])
     time.sleep(6)
-    fleet.command("link", cuts=[])
+    fleet.send_command("link", cuts=[])
 
 
 def _nothing(fleet: Fleet) -> None:
@@ -79,8 +79,8 @@
 def _sent_bytes(fleet: Fleet) -> dict[str, int]:
     return {
         name: state["counters"]["peer_bytes_sent"]
-        for name in fleet.names("entry")
-        if (state := fleet.dump(name)) is not None
+        for name in fleet.names_of_kind("entry")
+        if (state := fleet.read_state(name)) is not None
     }
 
 
@@ -138,12 +138,12 @@
         time.sleep(_CALM_S)
     finally:
         fleet.stop_all()
-    caller = fleet.result("caller")
+    caller = fleet.read_result("caller")
     counts = Counter(caller["counts"])
     runs: Counter[str] = Counter()
-    for backend in fleet.names("backend"):
+    for backend in fleet.names_of_kind("backend"):
         if fleet.processes[backend].returncode == 0:
-            runs.update(fleet.result(backend)["runs"])
+            runs.update(fleet.read_result(backend)["runs"])
     doubled = sum(1 for n, count in runs.items() if count > 1 and n[0] == "n")
     return {
         "fault": name,
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -11,7 +11,7 @@
 from collections import Counter
 from pathlib import Path
 
-from standins.fleet import Fleet, scaled
+from standins.fleet import Fleet, with_services
 from standins.layouts import FAELLESFANE, ServiceLayout
 
 _CAPACITY_PER_S = 100
@@ -19,7 +19,7 @@
 
 
 def _snapshot(fleet: Fleet) -> tuple[float, Counter]:
-    return time.monotonic(), Counter(fleet.command("caller")["counts"])
+    return time.monotonic(), Counter(fleet.send_command("caller")["counts"])
 
 
 def run_load(factor: float, folder: Path) -> dict[str, object]:
@@ -38,7 +38,7 @@
         Rates and latencies.
     """
     rate = _CAPACITY_PER_S * factor
-    layout = scaled(FAELLESFANE, tab=ServiceLayout(2, 0, 40, 4, rate, 1.0))
+    layout = with_services(FAELLESFANE, tab=ServiceLayout(2, 0, 40, 4, rate, 1.0))
     fleet = Fleet(layout, folder, caller_settings={"timeout_s": 1.0})
     try:
         fleet.start_all()
@@ -50,7 +50,8 @@
         fleet.stop_all()
     elapsed_s = ended_s - started_s
     backends = [
-        Counter(fleet.result(name)["counts"]) for name in fleet.names("backend")
+        Counter(fleet.read_result(name)["counts"])
+        for name in fleet.names_of_kind("backend")
     ]
 
     def per_s(name: str) -> float:
@@ -62,7 +63,7 @@
         "refused_per_s": per_s("requests_refused"),
         "unknown_per_s": per_s("requests_unknown"),
         "over_slots": sum(counts["over_slots"] for counts in backends),
-        "p99_ms": fleet.result("caller")["latency_ms"]["99"],
+        "p99_ms": fleet.read_result("caller")["latency_ms"]["99"],
     }
 
 
--- a/demo/run.py
+++ b/demo/run.py
@@ -57,7 +57,7 @@
     expected = sum(service.stream_count for service in fleet.layout.services.values())
 
     def all_open() -> bool:
-        counts = fleet.command("caller")["counts"]
+        counts = fleet.send_command("caller")["counts"]
         return counts.get("streams_opened", 0) >= expected
 
     fleet.wait_for(all_open, "the streams", timeout_s=20.0)
@@ -68,7 +68,7 @@
     _print_progress("all streams are open; load runs")
     time.sleep(3)
 
-    instance = fleet.names("entry")[1]
+    instance = fleet.names_of_kind("entry")[1]
     _print_progress(f"killing entry instance {instance}")
     fleet.kill(instance)
     time.sleep(3)
@@ -85,7 +85,7 @@
     summary.require(in_force_s <= _IN_FORCE_LIMIT_S, "a document is soon in force")
     time.sleep(5)
 
-    last_s = fleet.command(endpoint)["last_new_work_s"]
+    last_s = fleet.send_command(endpoint)["last_new_work_s"]
     late_s = max(0.0, last_s - drained_s)
     summary.add("seconds until the drained endpoint got no work", f"{late_s:.3f}")
     summary.require(late_s <= _NEW_WORK_LIMIT_S, "a drained endpoint gets no new work")
@@ -100,10 +100,10 @@
         raise RuntimeError(errors)
 
     def in_force() -> bool:
-        for name in fleet.names("entry"):
+        for name in fleet.names_of_kind("entry"):
             if fleet.processes[name].poll() is not None:
                 continue
-            state = fleet.dump(name)
+            state = fleet.read_state(name)
             if state is None or state["entry"]["documents"].get(service) != 2:
                 return False
         return True
@@ -121,8 +121,8 @@
 def _summarize(
     fleet: Fleet, summary: Summary, streams: dict[str, dict[str, int]]
 ) -> None:
-    caller = fleet.result("caller")
-    backends = [fleet.result(name) for name in fleet.names("backend")]
+    caller = fleet.read_result("caller")
+    backends = [fleet.read_result(name) for name in fleet.names_of_kind("backend")]
     counts = Counter(caller["counts"])
     summary.add("streams opened", counts["streams_opened"])
     summary.add("streams broken", counts["streams_broken"])
@@ -173,8 +173,8 @@
 
 def _stream_loads(fleet: Fleet) -> dict[str, dict[str, int]]:
     loads: dict[str, dict[str, int]] = {name: {} for name in fleet.layout.services}
-    for name in fleet.names("backend"):
-        reply = fleet.command(name)
+    for name in fleet.names_of_kind("backend"):
+        reply = fleet.send_command(name)
         loads[reply["service"]][name] = reply["open_streams"]
     return loads
 
--- a/soak/backend.py
+++ b/soak/backend.py
@@ -8,7 +8,7 @@
 from agatethread.settings import parse_address
 from soak.addresses import Addresses
 from soak.fleet import REPORT_INTERVAL_S
-from soak.promises import PromiseMonitor
+from soak.promise_monitor import PromiseMonitor
 from soak.wire import (
     ACK,
     FIN,
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -10,7 +10,7 @@
 from soak.addresses import Addresses
 from soak.backend import BackendServer
 from soak.fleet import Fleet
-from soak.promises import PromiseMonitor
+from soak.promise_monitor import PromiseMonitor
 from soak.wire import ACK, FIN, RST, SYN, Segment, call, decode, encode, host_number
 
 #: Retry delays, timeout and probes of the platform's callers and routers.
--- a/soak/faults.py
+++ b/soak/faults.py
@@ -10,7 +10,7 @@
 from soak.fleet import Fleet, Machine
 from soak.mesh import Mesh
 from soak.operator import Operator
-from soak.promises import PromiseMonitor
+from soak.promise_monitor import PromiseMonitor
 
 #: Minimum interval of disk losses: the instance of the first one can vote again.
 _MIN_DISK_LOSS_INTERVAL_S = 15.0
--- a/soak/operator.py
+++ b/soak/operator.py
@@ -4,7 +4,7 @@
 import random
 from collections.abc import Callable
 
-from soak.promises import PromiseMonitor
+from soak.promise_monitor import PromiseMonitor
 from soak.wire import call, encode_json, host_number
 
 #: Limit for the acknowledgement of a change without faults.
--- a/soak/run.py
+++ b/soak/run.py
@@ -13,7 +13,7 @@
 from soak.fleet import Fleet
 from soak.mesh import Mesh
 from soak.operator import Operator
-from soak.promises import PromiseMonitor
+from soak.promise_monitor import PromiseMonitor
 
 #: Time from the last fault of a round to the checks: an instance with a lost disk can
 #: vote again by then, and all backend servers have reported again.
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -99,8 +99,8 @@
     def _all_ready(self) -> bool:
         self._missing = [
             f"{name}: {missing}"
-            for name in self.names("entry")
-            if (missing := self._describe_missing(self.dump(name)))
+            for name in self.names_of_kind("entry")
+            if (missing := self._describe_missing(self.read_state(name)))
         ]
         return not self._missing
 
@@ -126,7 +126,7 @@
             if actual[name] < count
         )
 
-    def names(self, kind: str) -> list[str]:
+    def names_of_kind(self, kind: str) -> list[str]:
         """Return the names of the nodes of a kind.
 
         Parameters
@@ -141,7 +141,7 @@
         """
         return [node.name for node in self.nodes.values() if node.kind == kind]
 
-    def signal(self, name: str, number: int) -> None:
+    def send_signal(self, name: str, number: int) -> None:
         """Send a signal to a process.
 
         Parameters
@@ -161,7 +161,7 @@
         name : str
             The process.
         """
-        self.signal(name, signal.SIGKILL)
+        self.send_signal(name, signal.SIGKILL)
         self.processes[name].wait()
 
     def stop(self, *names: str) -> None:
@@ -173,7 +173,7 @@
             Their names.
         """
         for name in names:
-            self.signal(name, signal.SIGTERM)
+            self.send_signal(name, signal.SIGTERM)
         for name in names:
             self.processes[name].wait(_STOP_TIMEOUT_S)
 
@@ -188,10 +188,10 @@
         finally:
             for name in running:
                 if self.processes[name].poll() is None:
-                    self.signal(name, signal.SIGCONT)
+                    self.send_signal(name, signal.SIGCONT)
                     self.kill(name)
 
-    def command(self, name: str, **command: Any) -> Any:
+    def send_command(self, name: str, **command: Any) -> Any:
         """Send a command to a stand-in.
 
         Parameters
@@ -209,9 +209,11 @@
         return send_command(self.nodes[name].command_address, **command)
 
     @property
-    def target(self) -> ControlTarget:
+    def control_target(self) -> ControlTarget:
         """Return the control instances as the target of calls."""
-        addresses = tuple(self._admin_addresses[name] for name in self.names("control"))
+        addresses = tuple(
+            self._admin_addresses[name] for name in self.names_of_kind("control")
+        )
         return ControlTarget(addresses, _READY_TIMEOUT_S)
 
     def run_ctl(self, *arguments: str, timeout_s: float = 10.0) -> tuple[int, str, str]:
@@ -230,7 +232,7 @@
             Exit code, standard output and standard error.
         """
         control = ",".join(
-            self._admin_addresses[name] for name in self.names("control")
+            self._admin_addresses[name] for name in self.names_of_kind("control")
         )
         command = (
             sys.executable,
@@ -248,7 +250,7 @@
         )
         return completed.returncode, completed.stdout, completed.stderr
 
-    def dump(self, name: str) -> dict[str, Any] | None:
+    def read_state(self, name: str) -> dict[str, Any] | None:
         """Return the state of an instance.
 
         Parameters
@@ -348,7 +350,7 @@
                 )
             time.sleep(0.1)
 
-    def result(self, name: str) -> dict[str, Any]:
+    def read_result(self, name: str) -> dict[str, Any]:
         """Return the result of a stopped stand-in.
 
         Parameters
@@ -364,7 +366,7 @@
         return json.loads((self.folder / f"{name}.result").read_text())
 
 
-def scaled(layout: Layout, **services: ServiceLayout) -> Layout:
+def with_services(layout: Layout, **services: ServiceLayout) -> Layout:
     """Return a copy of a layout with other services.
 
     Parameters
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_json_bodies.py
@@ -2,7 +2,7 @@
 import json
 import unittest
 
-from agatethread_platform.bodies import (
+from agatethread_platform.json_bodies import (
     MAX_REPORT_BYTES,
     decode_configuration,
     decode_report,
--- a/tests/platform/test_roles.py
+++ b/tests/platform/test_roles.py
@@ -12,7 +12,7 @@
 from agatethread_platform.settings import PlatformSettings
 
 from tests.fakes import free_port, own_host
-from tests.platform.test_bodies import CONFIGURATION, REPORT, with_value
+from tests.platform.test_json_bodies import CONFIGURATION, REPORT, with_value
 from tests.platform.test_packets import SYN, datagram
 
 #: Two addresses, because all processes serve metrics at the same port.
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -8,7 +8,7 @@
 from soak.backend import BackendServer
 from soak.callers import Tally
 from soak.operator import Operator
-from soak.promises import PromiseMonitor
+from soak.promise_monitor import PromiseMonitor
 from soak.run import RunSize, Soak
 from soak.wire import SYN, Reply, Segment, call, decode, encode, host_number
 from tests.fakes import free_port
--- a/tests/standins/test_fleet.py
+++ b/tests/standins/test_fleet.py
@@ -34,11 +34,11 @@
         self.fleet.wait_for(lambda: self.counts()["streams_opened"] >= 66, "streams")
 
     def counts(self):
-        return Counter(self.fleet.command("caller")["counts"])
+        return Counter(self.fleet.send_command("caller")["counts"])
 
     def dispatcher(self, service="tab"):
-        for name in self.fleet.names("entry"):
-            state = self.fleet.dump(name)
+        for name in self.fleet.names_of_kind("entry"):
+            state = self.fleet.read_state(name)
             if state and service in state["entry"]["dispatches_for"]:
                 return name
         self.fail(f"no instance dispatches for {service}")
@@ -46,12 +46,12 @@
     def finish(self, broken=0):
         """Stop the fleet and check its invariants; return the caller's counts."""
         self.fleet.stop_all()
-        caller = self.fleet.result("caller")
+        caller = self.fleet.read_result("caller")
         runs, counts = Counter(), Counter()
-        for name in self.fleet.names("backend"):
+        for name in self.fleet.names_of_kind("backend"):
             if self.fleet.processes[name].returncode == 0:
-                runs.update(self.fleet.result(name)["runs"])
-                counts.update(self.fleet.result(name)["counts"])
+                runs.update(self.fleet.read_result(name)["runs"])
+                counts.update(self.fleet.read_result(name)["counts"])
         doubled = [name for name, count in runs.items() if count > 1 and name[0] == "n"]
         self.assertEqual(doubled, [], "ran twice")
         self.assertEqual(
@@ -70,7 +70,7 @@
     def test_rolling_restart_with_drain_and_document(self):
         """Restarting all instances during a drain breaks no stream or request."""
         self.assertEqual(self.fleet.run_ctl("drain", "tab-1")[0], 0)
-        for number, name in enumerate(self.fleet.names("entry")):
+        for number, name in enumerate(self.fleet.names_of_kind("entry")):
             self.fleet.stop(name)
             self.assertEqual(self.fleet.processes[name].returncode, 0)
             self.fleet.start(name)
@@ -79,7 +79,7 @@
                     "apply", self.fleet.write_document("tab", 2, ramp_s=1.0)
                 )
             time.sleep(2.5)
-        last_s = self.fleet.command("tab-1")["last_new_work_s"]
+        last_s = self.fleet.send_command("tab-1")["last_new_work_s"]
         self.assertLess(last_s, time.time() - 5)
         caller_counts = self.finish()
         self.assertEqual(caller_counts["requests_unknown"], 0)
@@ -90,12 +90,14 @@
         """Evacuating and readmitting a failure domain breaks no stream or request."""
         evacuated = [
             name
-            for name in self.fleet.names("backend")
+            for name in self.fleet.names_of_kind("backend")
             if self.fleet.nodes[name].failure_domain == "north"
         ]
 
         def last_new_work_s():
-            times = [self.fleet.command(name)["last_new_work_s"] for name in evacuated]
+            times = [
+                self.fleet.send_command(name)["last_new_work_s"] for name in evacuated
+            ]
             return max(times)
 
         code, _, errors = self.fleet.run_ctl("evacuate", "north", "--wait-s", "5")
@@ -123,15 +125,15 @@
     def test_frozen_dispatcher_resumes(self):
         """A dispatcher that resumes after some seconds runs no request twice."""
         name = self.dispatcher()
-        self.fleet.signal(name, signal.SIGSTOP)
+        self.fleet.send_signal(name, signal.SIGSTOP)
         time.sleep(5)
-        self.fleet.signal(name, signal.SIGCONT)
+        self.fleet.send_signal(name, signal.SIGCONT)
         time.sleep(3)
         self.finish()
 
     def test_backend_crash_breaks_only_its_own_flows(self):
         """Callers of a killed backend server get resets; no other flow ends."""
-        open_count = self.fleet.command("tab-2")["open_streams"]
+        open_count = self.fleet.send_command("tab-2")["open_streams"]
         self.fleet.kill("tab-2")
         broken = lambda: self.counts()["streams_broken"]  # noqa: E731
         self.fleet.wait_for(lambda: broken() >= open_count, "resets", 6.0)
@@ -142,17 +144,17 @@
 class TestLargeMessages(FleetCase):
     def test_delivers_large_messages_despite_packet_loss(self):
         """Uploads and answers of 30 KB are complete despite lost packets."""
-        self.fleet.command("fabric", loss=0.03, duplicate=0.03)
-        self.fleet.command("link", loss=0.005)
+        self.fleet.send_command("fabric", loss=0.03, duplicate=0.03)
+        self.fleet.send_command("link", loss=0.005)
         time.sleep(6)
-        self.fleet.command("fabric", loss=0.0, duplicate=0.0)
-        self.fleet.command("link", loss=0.0)
+        self.fleet.send_command("fabric", loss=0.0, duplicate=0.0)
+        self.fleet.send_command("link", loss=0.0)
         time.sleep(2)
         caller_counts = self.finish()
         self.assertEqual(caller_counts["answers_wrong"], 0)
         run_counts = Counter()
-        for name in self.fleet.names("backend"):
-            run_counts[name.split("-")[0]] += len(self.fleet.result(name)["runs"])
+        for name in self.fleet.names_of_kind("backend"):
+            run_counts[name.split("-")[0]] += len(self.fleet.read_result(name)["runs"])
         self.assertGreater(run_counts["receipts"], 60)
 
 
@@ -160,10 +162,10 @@
     def test_partition_of_failure_domains_and_recovery(self):
         """Partitioned domains keep serving, and the recovery breaks no flow."""
         before = self.counts()["requests_answered"]
-        self.fleet.command("link", cuts=[["north", "south"]])
+        self.fleet.send_command("link", cuts=[["north", "south"]])
         time.sleep(6)
         during = self.counts()["requests_answered"]
-        self.fleet.command("link", cuts=[])
+        self.fleet.send_command("link", cuts=[])
         time.sleep(4)
         self.assertGreater(during - before, 100)
         self.finish()
@@ -177,7 +179,7 @@
 
     def test_operator_commands(self):
         """The commands have their documented effect on a fleet under load."""
-        live_count = lambda: self.fleet.command("fabric")["live"]  # noqa: E731
+        live_count = lambda: self.fleet.send_command("fabric")["live"]  # noqa: E731
         self.run_ctl("drain", "entry-2")
         self.fleet.wait_for(lambda: live_count() == 3, "the drain", 5.0)
         dump = self.run_ctl("dump", "entry-2")
@@ -208,11 +210,11 @@
 class TestControl(FleetCase):
     def test_documents_survive_crash_and_resumed_control_instance(self):
         """Documents are still accepted, and a resumed instance reverts none."""
-        self.fleet.signal("control-1", signal.SIGSTOP)
+        self.fleet.send_signal("control-1", signal.SIGSTOP)
         self.assertLess(
             self.fleet.apply_document("tab", 2, note="while one is frozen"), 4
         )
-        self.fleet.signal("control-1", signal.SIGCONT)
+        self.fleet.send_signal("control-1", signal.SIGCONT)
         self.fleet.kill("control-2")
         self.fleet.start("control-2")
         self.fleet.stop("control-3")
@@ -220,8 +222,8 @@
         self.fleet.start("control-3")
         self.assertLess(self.fleet.apply_document("tab", 3, note="after both"), 4)
         time.sleep(2)
-        for name in self.fleet.names("entry"):
-            documents = self.fleet.dump(name)["entry"]["documents"]
+        for name in self.fleet.names_of_kind("entry"):
+            documents = self.fleet.read_state(name)["entry"]["documents"]
             self.assertEqual(documents, {"tab": 3, "receipts": 1})
         code, _, errors = self.fleet.run_ctl(
             "apply", self.fleet.write_document("tab", 3)
