--- a/src/agatethread/registry/_control_link.py
+++ b/src/agatethread/registry/_control_link.py
@@ -1,4 +1,4 @@
-"""Stores the state that a subscriber has received from a control instance."""
+"""Stores the state of the exchange between a subscriber and a control instance."""
 
 from dataclasses import dataclass, field
 
@@ -14,7 +14,7 @@
 
 @dataclass
 class ControlLink:
-    """State that this process has received from one control instance."""
+    """State received from one control instance, and the requests sent to it."""
 
     address: bytes
     failure_domain: str = ""
@@ -22,40 +22,47 @@
     seen_index: int = 0
     #: Messages since the last acknowledgement.
     unacknowledged_count: int = 0
+    #: Time of the last message, requested or not.
     last_reply_s: float = float("-inf")
+    #: Time of the last probe.
     probed_s: float = float("-inf")
-    #: Time of the last request, and whether the log shows it as reachable.
+    #: Time of the last poll or probe.
     requested_s: float = float("-inf")
+    #: Whether the log shows the control instance as reachable: until a request to it is
+    #: unanswered for 1 s.
     is_reachable: bool = False
     #: Time of the first unanswered request; infinite if there is none.
     unanswered_since_s: float = float("inf")
-    #: Time of the last poll for changes.
+    #: Time of the last poll that was not a probe.
     polled_s: float = float("-inf")
-    #: Whether it knows every reporting backend server.
+    #: Whether the control instance knows every reporting backend server.
     settled: bool = False
-    #: Whether it hears a leader.
+    #: Whether the control instance is in contact with a Raft leader.
     hears_leader: bool = False
-    #: Version of its newest agreed routing table.
+    #: Version of the newest agreed routing table at the control instance.
     routes_version: int = 0
-    #: Rank of this instance among the entry instances that it reaches.
+    #: Rank of this process among the entry instances known to the control instance. A
+    #: control instance receives an entry count there, that of the other failure domain.
     rank: EntryRank = UNKNOWN_RANK
-    #: Counts of this instance's failure domain, and the time of their receipt.
+    #: Counts of this process's failure domain, and the time of their receipt.
     domain: DomainCounts | None = None
     domain_received_s: float = float("-inf")
-    #: Dispatchers of each failure domain, and the time of their receipt.
+    #: Dispatchers of each failure domain, and the time of their last receipt or
+    #: confirmation.
     dispatchers: tuple[Dispatchers, ...] = ()
     dispatchers_digest: int = 0
     dispatchers_received_s: float = float("-inf")
-    #: Serving entry instances of its failure domain, and the time of their receipt.
+    #: Serving entry instances of the control instance's failure domain, and the time of
+    #: their receipt.
     serving: tuple[bytes, ...] = ()
     serving_received_s: float = float("-inf")
-    #: Whether its full state has been received once.
+    #: Whether the full state has been received since it was last followed.
     complete: bool = False
-    #: Whether this process has unfollowed it.
+    #: Whether this process has unsubscribed from the control instance.
     is_unfollowed: bool = False
-    #: Packed addresses of the control instances that it reaches.
+    #: Packed addresses of the control instances that polled it within 1 s.
     controls: frozenset[bytes] = frozenset()
-    #: Start time of each live run at this instance, by id.
+    #: Start time of each live run at the control instance, by id.
     reporting: dict[str, int] = field(default_factory=dict)
 
     def record_message(self, delta: Delta, now_s: float) -> None:
@@ -84,12 +91,12 @@
         self.failure_domain = delta.failure_domain
 
     def unfollow(self) -> None:
-        """Mark the instance as unfollowed; its state is no longer updated."""
+        """Mark the instance as unfollowed; its state no longer counts as complete."""
         self.is_unfollowed = True
         self.complete = False
 
     def update_state(self, state: HubState, now_s: float) -> None:
-        """Store the control instance's view of the registry.
+        """Store the `hub` fields of a reply.
 
         Parameters
         ----------
@@ -119,13 +126,14 @@
         Parameters
         ----------
         delta : Delta
-            Changes that leave no gap to those received.
+            Message whose changes directly follow, or repeat, those received.
 
         Returns
         -------
         bool
-            Whether to acknowledge now: after the last message and each fourth, to limit
-            the load of acknowledgements on the control instance.
+            Whether to acknowledge now: after a complete message, else after each
+            `_MESSAGES_PER_ACKNOWLEDGEMENT`, to limit the load on the control instance.
+            False if nothing was received but a known index.
         """
         is_new = delta.through_index > self.seen_index
         self.seen_index = max(self.seen_index, delta.through_index)
@@ -139,7 +147,7 @@
         return is_new or bool(delta.runs or delta.reporting)
 
     def reset(self, incarnation: int) -> None:
-        """Reset the received state after a restart of the control instance.
+        """Reset the received index and runs after a restart of the control instance.
 
         Parameters
         ----------
--- a/src/agatethread/registry/_deltas.py
+++ b/src/agatethread/registry/_deltas.py
@@ -6,7 +6,8 @@
 from agatethread.registry._runs import RunTable
 from agatethread.wire.registry_pb2 import BackendRun, Delta, RegistryMessage
 
-#: Messages sent to one subscriber at a time; limits the queue on a slow link.
+#: Messages of a window, the most that are built for one subscriber in a round or reply;
+#: limits the queue on a slow network.
 _WINDOW_MESSAGE_COUNT = 8
 #: Estimated size of a report sent as run number and sequence.
 _NUMBERED_REPORT_BYTES = 12
@@ -44,8 +45,8 @@
     ) -> list[RegistryMessage]:
         """Return messages with the changes after an index, at most one window.
 
-        Handles a steady stream of unchanged reports between control instances: an
-        unchanged report is sent as its run number and sequence only.
+        Limits the traffic of unchanged reports between control instances: these are
+        sent as run number and sequence only.
 
         Parameters
         ----------
@@ -71,6 +72,7 @@
             is_numbered = by_number and self._runs.can_send_by_number(
                 run.id, start_index
             )
+            # 3 bytes for the tag and the length of the field.
             run_bytes = _NUMBERED_REPORT_BYTES if is_numbered else run.ByteSize() + 3
             if size and size + run_bytes > MESSAGE_BYTES:
                 message.delta.through_index = last_index
--- a/src/agatethread/registry/_entries.py
+++ b/src/agatethread/registry/_entries.py
@@ -1,4 +1,4 @@
-"""Stores the runs of a control instance, indexed by id, address and number."""
+"""Stores runs at a control instance, indexed by id, address and number."""
 
 from collections.abc import Iterator
 from itertools import islice
@@ -7,7 +7,7 @@
 from agatethread.registry._report import START_NOT_TOLD, Report
 from agatethread.wire.registry_pb2 import BackendRun
 
-#: One of this many reports of a run is sent in full.
+#: Reports whose sequence is a multiple of this are sent in full.
 _FULL_REPORT_INTERVAL = 8
 
 
@@ -30,12 +30,14 @@
 
     def __init__(self, run: BackendRun):
         self.run = run
+        #: Time of the last report, end or restore, or of the end of a suspension of
+        #: this process; 0 before the first report.
         self.last_report_s = 0.0
-        #: Index of the last change that is sent to entry instances.
+        #: Index of the last change; direct reports without a change don't count.
         self.changed_index = 0
         #: Index of the last report received directly from the run.
         self.direct_index = 0
-        #: Index of the last report that changed details of the run.
+        #: Index of the last direct report that changed slots or warm-up time.
         self.details_index = 0
 
 
@@ -44,8 +46,8 @@
 
     def __init__(self) -> None:
         self._by_id: dict[str, RunEntry] = {}
-        #: By id, in order of change. Handles many runs and subscribers: listing recent
-        #: changes does not scan all runs.
+        #: By id, in order of change, so that listing recent changes does not scan all
+        #: runs.
         self._by_change: dict[str, RunEntry] = {}
         #: By id, in order of change or direct report.
         self._by_report: dict[str, RunEntry] = {}
@@ -82,8 +84,8 @@
     def most_have_start(self) -> bool:
         """Return whether most live runs have reported their start time.
 
-        Stops counting runs without a start time once they are no fewer than those with
-        one, since this is called for every report without a start time.
+        Stops counting once as many live runs have none, since this is called for every
+        report without a start time.
         """
         with_count = sum(is_live(entry.run) for entry in self._with_start_time.values())
         without = (
@@ -124,7 +126,10 @@
         _move_to_end(self._by_report, entry)
 
     def changed_after(self, index: int, with_reports: bool) -> list[RunEntry]:
-        """Return the runs that changed after an index, oldest change first."""
+        """Return the runs that changed after an index, oldest first.
+
+        With `with_reports`, also those that reported directly without a change.
+        """
         order = self._by_report if with_reports else self._by_change
         newer = []
         for entry in reversed(order.values()):
@@ -135,7 +140,7 @@
         return newer
 
     def remove(self, entry: RunEntry) -> None:
-        """Delete a run whose retention time has passed."""
+        """Delete a run."""
         run_id = entry.run.id
         del self._by_id[run_id]
         self._by_change.pop(run_id, None)
@@ -151,7 +156,7 @@
 
 
 def last_index(entry: RunEntry, with_reports: bool) -> int:
-    """Return the index of the last change, or of the last report if included."""
+    """Return the index of the last change, or direct report if `with_reports`."""
     if with_reports:
         return max(entry.changed_index, entry.direct_index)
     return entry.changed_index
@@ -173,7 +178,8 @@
     Returns
     -------
     bool
-        Whether the receiver already has the state of the run.
+        False if the receiver may lack the current state of the run, and for each report
+        that is sent in full, see `_FULL_REPORT_INTERVAL`.
     """
     run = entry.run
     if not (run.number and run.started_ms) or run.sequence % _FULL_REPORT_INTERVAL == 0:
--- a/src/agatethread/registry/_own_domain.py
+++ b/src/agatethread/registry/_own_domain.py
@@ -1,9 +1,11 @@
 """Decides when following control instances of the own failure domain suffices.
 
-Handles many entry instances in few failure domains: traffic between failure domains
-grows with the number of control instances, not of entry instances. The own failure
-domain suffices while two of its control instances hear a leader, have sent every
-backend server, and reach each control instance that others reach.
+Traffic between failure domains then grows with the number of control instances, not of
+entry instances. The own failure domain suffices while two of its control instances are
+in contact with a Raft leader, have sent every backend server, and are polled by each
+control instance that this process or control instances of other failure domains reach.
+Here, a control instance is reachable while it sent a message within the last second,
+its lease; see `Subscription.reachable_links`.
 """
 
 from collections import Counter
@@ -15,8 +17,8 @@
 
 #: Control instances of the own failure domain that suffice; tolerates loss of one.
 OWN_DOMAIN_COUNT = 2
-#: Time for which others may reach a control instance that the own failure domain does
-#: not: a start or an end is detected up to a poll and a lease apart.
+#: Time for which the own failure domain may lack a control instance that others reach,
+#: since control instances detect a start or an end at different times.
 _VIEW_DIFFERENCE_TIMEOUT_S = 0.6
 #: Time for which the own failure domain has to suffice again before the others are
 #: unfollowed; following them again transfers all changes since.
@@ -36,7 +38,7 @@
     Parameters
     ----------
     live : iterable of ControlLink
-        Reachable control instances.
+        Control instances that sent a message within their lease of 1 s.
     failure_domain : str
         Failure domain of the entry instance.
     may_be_incomplete : bool, optional
@@ -46,7 +48,8 @@
     -------
     list of ControlLink
         `OWN_DOMAIN_COUNT` of them, the same ones at all entry instances; empty if
-        fewer hear a leader, know every backend server and have sent them.
+        fewer are in contact with a Raft leader, know every backend server and have sent
+        them.
     """
     own_domain = [
         link
@@ -59,7 +62,7 @@
 
 
 def _has_full_state(link: ControlLink, may_be_incomplete: bool = False) -> bool:
-    """Return whether a control instance has the full state and has sent it."""
+    """Return whether a control instance has the full state, and sent it if required."""
     is_synchronized = link.complete or may_be_incomplete
     return link.hears_leader and link.settled and is_synchronized
 
@@ -74,15 +77,16 @@
     links : iterable of ControlLink
         All known control instances.
     live : iterable of ControlLink
-        Reachable control instances.
+        Control instances that sent a message within their lease of 1 s.
     failure_domain : str
         Failure domain of the entry instance.
 
     Returns
     -------
     int
-        One if the own failure domain has several, and one of them has the full state
-        or two are reachable; else `FOLLOWED_COUNT` less one.
+        One if there are several control instances in the own failure domain and some
+        in others, and of the own ones two are reachable, or a reachable one has sent
+        its full state; else `FOLLOWED_COUNT` less one.
     """
     known_domains = [link.failure_domain for link in links]
     own_domain = [link for link in live if link.failure_domain == failure_domain]
@@ -97,7 +101,7 @@
 def find_unreachable_controls(
     own_domain: Sequence[ControlLink], live: Iterable[ControlLink]
 ) -> set[bytes]:
-    """Return the control instances that only other failure domains reach.
+    """Return the control instances that those of the own failure domain do not reach.
 
     The own failure domain would not relay the changes of such an instance.
 
@@ -106,21 +110,22 @@
     own_domain : sequence of ControlLink
         Control instances of the own failure domain.
     live : iterable of ControlLink
-        All reachable control instances.
+        All control instances that sent a message within their lease of 1 s.
 
     Returns
     -------
     set of bytes
-        Packed addresses.
+        Packed addresses of instances that are in `live`, or that polled one of these
+        within 1 s, but polled none of `own_domain`.
     """
-    reachable: set[bytes] = set()
+    missing: set[bytes] = set()
     for link in live:
-        reachable.add(link.address)
-        reachable |= link.controls
+        missing.add(link.address)
+        missing |= link.controls
     for link in own_domain:
-        reachable.discard(link.address)
-        reachable -= link.controls
-    return reachable
+        missing.discard(link.address)
+        missing -= link.controls
+    return missing
 
 
 def add_own_domain(
@@ -135,14 +140,15 @@
     followed : sequence of ControlLink
         Followed control instances.
     live : iterable of ControlLink
-        Reachable control instances.
+        Control instances that sent a message within their lease of 1 s.
     failure_domain : str
         Failure domain of the entry instance.
 
     Returns
     -------
     list of ControlLink
-        With `OWN_DOMAIN_COUNT` of the own failure domain, if as many are reachable.
+        Contains `OWN_DOMAIN_COUNT` of the own failure domain, or all reachable ones if
+        these are fewer.
     """
     own_domain = [link for link in followed if link.failure_domain == failure_domain]
     missing_count = max(0, OWN_DOMAIN_COUNT - len(own_domain))
@@ -172,7 +178,8 @@
     Returns
     -------
     bool
-        Whether entry instances of some failure domain may follow only these.
+        Whether there are several failure domains, and entry instances of one may follow
+        only its own control instances.
     """
     counts = Counter([failure_domain, *(link.failure_domain for link in others)])
     return max(counts.values()) >= OWN_DOMAIN_COUNT and len(counts) > 1
@@ -193,7 +200,8 @@
         self._failure_domain = failure_domain
         self._now_s = now_s
         self._last_consistent_s = float("-inf")
-        #: Since when the own failure domain suffices again; None while it does not.
+        #: Since when the own failure domain suffices again; None while it does not, and
+        #: -inf if no recovery delay applies, as before the first loss.
         self._sufficient_since_s: float | None = float("-inf")
         self._first_reply_s: float | None = None
         self._is_sufficient = False
@@ -204,7 +212,7 @@
         Parameters
         ----------
         live : sequence of ControlLink
-            Reachable control instances.
+            Control instances that sent a message within their lease of 1 s.
 
         Returns
         -------
@@ -233,6 +241,7 @@
             not own_domain
             or now_s - self._last_consistent_s > _VIEW_DIFFERENCE_TIMEOUT_S
         ):
+            # No recovery delay applies after an initial sync.
             if not is_initial_sync:
                 self._sufficient_since_s = None
             return []
--- a/src/agatethread/registry/_presence.py
+++ b/src/agatethread/registry/_presence.py
@@ -13,12 +13,12 @@
     Presence,
 )
 
-#: Time without a poll after which an instance is not serving; five polls.
+#: Time without a poll after which an entry instance counts as not serving; five polls.
 _SERVING_TIMEOUT_S = 2.0
 
 
 class PollingInstance(Protocol):
-    """Fields of a polling instance that are used here."""
+    """Fields of `Subscriber` that are read here."""
 
     failure_domain: str
     last_poll_s: float
@@ -34,9 +34,9 @@
     others : int
         All other entry instances.
     away : int
-        Entry instances that do not serve.
+        Entry instances that do not serve, or have not polled for 2 s.
     ahead : int
-        Entry instances that are leaving and go first.
+        Leaving entry instances with a lower address, which stop first.
     """
 
     others: int
@@ -68,7 +68,8 @@
     Parameters
     ----------
     entries : iterable of tuple of (str, bytes)
-        Failure domains and packed addresses of reachable entry instances.
+        Failure domains and packed addresses of the entry instances that polled this
+        control instance within their lease.
     reported : mapping of str to int, optional
         Counts by failure domain, as reported by control instances there.
 
@@ -104,6 +105,8 @@
 def count_entries_by_domain(hubs: Iterable[_EntryCountSource]) -> dict[str, int]:
     """Return the reported number of entry instances of each failure domain.
 
+    Between control instances, the count of a rank is that of one failure domain.
+
     Parameters
     ----------
     hubs : iterable of ControlLink
@@ -145,6 +148,7 @@
     for other_address, other in subscribers.items():
         if other_address == address or other.failure_domain != domain:
             continue
+        # Control instances send no presence.
         if other.presence == PRESENCE_UNKNOWN:
             continue
         counts.others += 1
--- a/src/agatethread/registry/_probing.py
+++ b/src/agatethread/registry/_probing.py
@@ -9,14 +9,15 @@
 
 #: Interval between probes of a control instance that did not answer.
 _PROBE_INTERVAL_S = 0.4
-#: Interval while none answers, since no flow can be served until one does.
+#: Interval while none is followed, so that an instance without a routing table can
+#: start soon.
 _URGENT_PROBE_INTERVAL_S = 0.1
 #: Interval for the own failure domain while too few of its instances are followed.
 _OWN_DOMAIN_PROBE_INTERVAL_S = 1.0
 #: Interval between probes of other failure domains while only the own one is followed.
-#: A partition is detected within two of them, at little traffic between domains.
+#: Short enough to detect a partition soon, at little traffic between domains.
 _WATCH_INTERVAL_S = 0.7
-#: Time without an answer after which a control instance may be lost.
+#: Time without an answer to a probe after which others are probed, too.
 _REPLY_TIMEOUT_S = 0.3
 
 
@@ -53,7 +54,10 @@
         self._watched: ControlLink | None = None
 
     def probe_unfollowed(self, followed: Sequence[ControlLink]) -> None:
-        """Send probes to some control instances that are not followed.
+        """Send probes to control instances that are not followed.
+
+        At most `FOLLOWED_COUNT` that were not probed recently; a control instance, or
+        an entry instance that follows none, probes all of these.
 
         Parameters
         ----------
@@ -77,7 +81,7 @@
     def probe_own_domain(self, followed: Sequence[ControlLink]) -> None:
         """Send probes within the own failure domain if too few of it are followed.
 
-        An instance there stays reachable during a partition, and two may suffice alone.
+        Two of them can replace those of other failure domains.
 
         Parameters
         ----------
--- a/src/agatethread/registry/_publisher.py
+++ b/src/agatethread/registry/_publisher.py
@@ -37,12 +37,12 @@
 
 #: Time without a poll after which changes are no longer sent to a subscriber.
 _SUBSCRIBER_LEASE_S = 2.0
+#: Time without a poll after which a subscriber is deleted.
 _SUBSCRIBER_RETENTION_S = 10.0
-
-#: Minimum time between two rounds, for each subscriber. Handles a burst of changes, as
-#: after a power loss: those within the pause share the next round.
+#: Minimum time between two rounds, multiplied by the number of subscribers: in a burst,
+#: all changes within the pause share the next round.
 _PAUSE_PER_SUBSCRIBER_S = 0.00005
-#: Minimum time between two rounds, for each message of the last round.
+#: Minimum time between two rounds, multiplied by the messages of the last round.
 _PAUSE_PER_MESSAGE_S = 0.0001
 Send = Callable[[RegistryMessage, bytes], None]
 
@@ -63,7 +63,7 @@
     is_settled : callable
         Returns whether this instance knows every reporting backend server.
     hears_leader : callable
-        Returns whether this instance receives each agreed routing table.
+        Returns whether a Raft leader sends new routing tables to this instance.
     """
 
     def __init__(
@@ -80,31 +80,32 @@
         self._send = send
         self._now_s = now_s
         self._hears_leader = hears_leader
-        self._incarnation = secrets.randbits(63) | 1
+        self._incarnation = secrets.randbits(63) | 1  # 0 stands for an unknown one
         self._deltas = DeltaWriter(runs, self._incarnation, failure_domain, is_settled)
         self._subscribers: dict[bytes, Subscriber] = {}
         self._waiters = IndexWaiters()
         self._offer: RoutesOffer | None = None
         self._chunks: list[RegistryMessage] = []
         self._last_flush_s = now_s()
-        #: Messages of the last round, and the first subscriber of the next round.
+        #: Messages sent since the last round began, and resent ones among them.
         self._sent_count = self._resent_count = 0
         self._limit_count = MAX_ROUND_MESSAGES
+        #: First subscriber that the last limited round did not reach.
         self._next_address = b""
-        #: Greeted entry instances that have not polled yet.
+        #: Greeted entry instances of the own failure domain that have not polled yet.
         self._expected: dict[bytes, Subscriber] = {}
         self._sightings = SightingPool()
         self._watchers = Watchers()
         self._ranks: dict[bytes, EntryRank] = {}
-        #: Reachable entry instances of the own failure domain.
+        #: Entry instances of the own failure domain that polled within the lease.
         self._own_domain_count = 0
         #: Adds dispatchers to a reply, where dispatching is enabled.
         self.add_dispatchers: Callable[[HubState, Subscriber], None] = lambda *_: None
-        #: Returns the other reachable control instances.
+        #: Returns the other control instances that sent a message in the last second.
         self.list_other_controls: Callable[[], Iterable[ControlLink]] = tuple
 
     def offer_routes(self, offer: RoutesOffer) -> None:
-        """Send a routing table to each subscriber that has an older one.
+        """Store and send a routing table; the first also to greeted entry instances.
 
         Parameters
         ----------
@@ -120,7 +121,7 @@
                 self._send_routes(subscriber, address)
 
     def known_entries(self) -> tuple[KnownEntry, ...]:
-        """Return the known entry instances.
+        """Return the entry instances that polled or probed recently.
 
         Returns
         -------
@@ -136,10 +137,9 @@
     def greet(self, entries: Iterable[KnownEntry]) -> None:
         """Announce this instance to the entry instances known before a restart.
 
-        Handles a power loss of the whole system, where all entry instances wait for the
-        first control instance. Those of the own failure domain receive the full state
-        at once. The others receive a greeting and request the state if they lack it, so
-        that it crosses each link once.
+        After a power loss of the whole system, all entry instances wait for the first
+        control instance. Those of the own failure domain receive a first window of run
+        changes; the others a greeting, to limit traffic between failure domains.
 
         Parameters
         ----------
@@ -157,13 +157,16 @@
             self._send_changes(deltas, subscriber, entry.address)
 
     def _make_greeting(self) -> RegistryMessage:
-        """Return a reply without runs, which leaves the receiver's state as it is."""
+        """Return a message with the state of this instance, but without runs."""
         message = self._deltas.make_empty_message(0, 0)
         self._add_reply_fields(message.delta)
         return message
 
     def on_poll(self, poll: Poll, address: bytes) -> None:
-        """Store the state of a subscriber, and send the changes that it lacks.
+        """Handle a poll, a probe or an unsubscription.
+
+        A probe of another failure domain receives a greeting only. Others are stored as
+        subscribers, and receive the missing changes if they want a reply.
 
         Parameters
         ----------
@@ -173,7 +176,7 @@
             Packed address of the subscriber.
         """
         if poll.probe and not poll.wants_reply:
-            # Unsubscribed: `flush_and_wait` must not wait for its acknowledgement.
+            # A probe without a reply unsubscribes; `flush_and_wait` ignores it then.
             self._subscribers.pop(address, None)
             self._notify_waiters()
             return
@@ -203,10 +206,7 @@
         self._notify_waiters()
 
     def flush_soon(self) -> None:
-        """Send pending changes, unless the last round was too recent.
-
-        In that case the next regular call of `flush` sends them.
-        """
+        """Send pending changes, or after a recent round leave them to the timer."""
         pause_s = _PAUSE_PER_SUBSCRIBER_S * len(self._subscribers)
         pause_s = max(pause_s, _PAUSE_PER_MESSAGE_S * self._sent_count)
         if self._now_s() - self._last_flush_s >= pause_s:
@@ -267,13 +267,13 @@
         self._add_reply_fields(messages[-1].delta)
         rank = self._ranks.get(address, UNKNOWN_RANK)
         if subscriber.is_control:
-            # Other control instances use this count in their ranking.
+            # A control instance gets the entry count of this domain as its rank.
             rank = EntryRank(0, self._own_domain_count)
         messages[-1].delta.hub.entries = rank.count
         messages[-1].delta.hub.rank = rank.position
         self.add_dispatchers(messages[-1].delta.hub, subscriber)
         if subscriber.presence == PRESENCE_LEAVING:
-            # Counts only where it is needed, since that scans all subscribers.
+            # Counting scans all subscribers: done only for a leaving instance.
             counts = count_domain(self._subscribers, address, self._now_s())
             messages[-1].delta.hub.domain.CopyFrom(counts)
         self._send_changes(messages, subscriber, address)
@@ -308,7 +308,7 @@
             self._send(chunk, address)
 
     def reachable_entries(self) -> Iterator[tuple[bytes, Subscriber]]:
-        """Yield the entry instances that receive changes.
+        """Yield the entry instances that polled within the lease of 2 s.
 
         Yields
         ------
@@ -320,14 +320,14 @@
                 yield address, subscriber
 
     def reachable_subscribers(self) -> Iterator[tuple[bytes, Subscriber]]:
-        """Yield the instances of both roles that receive changes."""
+        """Yield the instances of both roles that polled within the lease of 2 s."""
         oldest_s = self._now_s() - _SUBSCRIBER_LEASE_S
         for address, subscriber in self._subscribers.items():
             if subscriber.last_poll_s >= oldest_s:
                 yield address, subscriber
 
     def on_sightings(self, sightings: Sightings, address: bytes) -> None:
-        """Store a subscriber's sightings of unresponsive runs.
+        """Store a subscriber's sightings of runs.
 
         Parameters
         ----------
@@ -346,10 +346,10 @@
             self._sightings.take_sums(domain, sightings.runs, now_s)
 
     def send_sightings(self) -> None:
-        """Send the digest of all sightings to entry instances, ten times a second.
+        """Send the sums of sightings to entry instances; called ten times a second.
 
-        Control instances of other failure domains receive the sums of this one, if some
-        entry instances may follow only their own failure domain.
+        Control instances of other failure domains receive the sums of this failure
+        domain, if some entry instances may follow only their own failure domain.
         """
         now_s = self._now_s()
         digest = self._sightings.digest(now_s)
@@ -372,7 +372,7 @@
                     self._send(message, address)
 
     async def flush_and_wait(self, timeout_s: float) -> bool:
-        """Send all changes and wait until every reachable subscriber has them.
+        """Send all changes and wait until every active subscriber has them.
 
         Parameters
         ----------
@@ -382,7 +382,7 @@
         Returns
         -------
         bool
-            Whether all subscribers acknowledged the changes in time.
+            False if a subscriber whose lease lasts has not acknowledged the changes.
         """
         waiting = self._waiters.add(self._runs.index)
         self.flush()
--- a/src/agatethread/registry/_runs.py
+++ b/src/agatethread/registry/_runs.py
@@ -1,7 +1,7 @@
 """Stores the newest run of every known backend server.
 
 Reports arrive directly or through other control instances, possibly late, duplicated or
-out of order; `_admission` judges them. The state of a run only advances, from reporting
+out of order; `_admission` checks them. The state of a run only advances, from reporting
 to draining to ended, and a later run of the same id replaces it.
 """
 
@@ -35,11 +35,12 @@
 )
 from agatethread.wire.registry_pb2 import BackendRun
 
-#: Reporting intervals without a report before a run gets no new work. Tolerates two
-#: lost reports while the server searches for a control instance that answers.
+#: Reporting intervals without a report before a run is silent; tolerates two losses.
 _SILENT_INTERVALS = 2.5
+#: Added to these, for a server that searches for a control instance that answers.
 _SILENT_MARGIN_S = 1.0
-#: Reporting intervals without a report after which another run may use the address.
+#: Reporting intervals without a report after which another run may use the address if
+#: it is unknown which of them started later.
 _ADDRESS_LEASE_INTERVALS = 1.5
 #: Time between two sweeps above which this process counts as suspended meanwhile.
 _SUSPENSION_THRESHOLD_S = 1.0
@@ -64,8 +65,9 @@
         #: Names of the configured services; empty before the first routing table.
         self.services: frozenset[str] = frozenset()
         self._last_sweep_s = now_s()
+        #: Index of the last change or direct report.
         self.index = 0
-        #: Index of the last change that is sent to entry instances.
+        #: Index of the last change; direct reports without a change don't count.
         self.changed_index = 0
 
     def __len__(self) -> int:
@@ -103,7 +105,8 @@
         Raises
         ------
         ReportRefusedError
-            If the report contradicts the known runs; nothing was changed.
+            If the report contradicts the known runs, its service is unknown, or its
+            start time is missing; nothing was changed.
         """
         verdict = self._judge(report)
         if verdict in (Verdict.STARTS, Verdict.CONTINUES):
@@ -116,6 +119,7 @@
 
         previous_details = entry.run.slots, entry.run.warm_up_ms
         changed = self._refresh(entry, report)
+        # A change has advanced the index already.
         if not changed:
             self.index += 1
         self._entries.mark_reported(entry, self.index)
@@ -124,7 +128,7 @@
         return changed
 
     def _check_writer(self, report: Report, verdict: Verdict) -> Verdict:
-        """Return a refusal for an unknown service or a missing start time."""
+        """Return a refusal for an unknown service or start time, else the verdict."""
         starts = verdict is Verdict.STARTS
         # Before the first routing table, every service is accepted.
         if starts and self.services and report.service not in self.services:
@@ -148,7 +152,7 @@
         return Known(entry.run, self._now_s() - entry.last_report_s) if entry else None
 
     def _get_or_admit(self, report: Report, verdict: Verdict) -> RunEntry | None:
-        """Return the existing or new entry of an accepted report, else None."""
+        """Return the record of an accepted report; else log it, and return None."""
         if verdict is Verdict.CONTINUES:
             return self._entries.get(report.id)
         if verdict is Verdict.STARTS:
@@ -209,12 +213,14 @@
         ended = BackendRun(id=run_id, started_ms=started_ms, ended=True)
         changed = self._apply_end(ended, "it said so")
         if started_ms == START_NOT_TOLD and not self._entries.get(run_id).run.ended:
-            raise ReportRefusedError(run_id, "it may be the end of an earlier run")
+            raise ReportRefusedError(run_id, "end without start time is ambiguous")
         return changed
 
     def apply_peer_run(self, run: BackendRun) -> bool:
         """Apply the state of a run at another control instance.
 
+        Ignores a silent state unless its start time is later than the stored one.
+
         Parameters
         ----------
         run : BackendRun
--- a/src/agatethread/registry/_selection.py
+++ b/src/agatethread/registry/_selection.py
@@ -1,9 +1,11 @@
 """Selects the control instances that an entry instance follows.
 
-Two of the own failure domain where these suffice, see `_own_domain`; else one of the
-own failure domain and two of others, so that updates survive the loss of an instance
-or a network partition. Instances with a leader are preferred: only they receive new
-routing tables.
+Two of the own failure domain where these suffice, else one of the own failure domain
+and one or two of others, so that updates survive the loss of an instance or a network
+partition; `_own_domain` decides these numbers. Instances in contact with a Raft leader
+are preferred: only they receive new routing tables. Here, a control instance is
+reachable while it sent a message within the last second, the lease of a control
+instance; see `Subscription.reachable_links`.
 """
 
 from collections.abc import Iterable, Sequence
@@ -11,11 +13,12 @@
 from agatethread.registry._control_link import ControlLink
 from agatethread.registry._presence import UNKNOWN_RANK, EntryRank
 
-#: Time within which a polled control instance may still answer.
+#: Time after a poll for which its reply is awaited before another instance is polled.
 _POLL_REPLY_TIMEOUT_S = 0.4
-#: Time without an answer after which a control instance counts as unreachable.
-_UNREACHABLE_TIMEOUT_S = 0.3
-#: Control instances that an entry instance follows; tolerates the loss of two.
+#: Age of an unanswered request after which a control instance of another failure
+#: domain counts as silent; detects a partition sooner than the lease does.
+_SILENT_TIMEOUT_S = 0.3
+#: Most control instances that an entry instance follows; tolerates the loss of two.
 FOLLOWED_COUNT = 3
 
 
@@ -29,11 +32,12 @@
     Parameters
     ----------
     live : sequence of ControlLink
-        Reachable control instances.
+        Control instances that sent a message within the lease.
     failure_domain : str
         Failure domain of the entry instance.
     others_count : int, optional
-        Number of instances to follow besides the first.
+        Number of instances to follow besides the first; not of its failure domain, if
+        others are reachable.
 
     Returns
     -------
@@ -42,21 +46,21 @@
     """
 
     # Does not sort by the time of the last answer, which changes at each poll.
-    def rank(link: ControlLink) -> tuple[bool, bool, bytes]:
+    def sort_key(link: ControlLink) -> tuple[bool, bool, bytes]:
         is_other_domain = link.failure_domain != failure_domain
         return (is_other_domain, not link.complete, link.address)
 
-    ranked = sorted(live, key=rank)
+    ranked = sorted(live, key=sort_key)
     first = ranked[:1]
     first_domains = {link.failure_domain for link in first}
     others = [link for link in ranked[1:] if link.failure_domain not in first_domains]
-    # Prefers instances that the first one does not reach: it can't relay their changes.
-    reachable = {address for link in first for address in link.controls}
+    relayed = {address for link in first for address in link.controls}
     others = sorted(
         others or ranked[1:],
         key=lambda link: (
             not link.hears_leader,
-            bool(reachable) and link.address in reachable,
+            # The first instance can't relay changes of an instance it does not reach.
+            bool(relayed) and link.address in relayed,
         ),
     )
     return first + others[:others_count]
@@ -77,7 +81,8 @@
     Returns
     -------
     bool
-        False also if none of them hears a leader: another one may.
+        False also if none of them is in contact with a Raft leader, since a control
+        instance that is not followed may be.
     """
     has_leader = any(link.hears_leader for link in followed)
     return has_leader and len(followed) >= count
@@ -88,8 +93,9 @@
 ) -> ControlLink | None:
     """Return the control instance that sends routing tables.
 
-    Handles frequent changes of large tables: each table is sent by one instance. The
-    instance must hear a leader to receive new tables; if it is late, all are asked.
+    A single instance sends each table, since tables are large and may change often. It
+    must be in contact with a Raft leader, to receive new tables. All followed instances
+    may send tables while one of them has a newer table than this process.
 
     Parameters
     ----------
@@ -101,7 +107,7 @@
     Returns
     -------
     ControlLink or None
-        None if all are asked for tables.
+        None if every followed instance may send tables.
     """
     if any(link.routes_version > routes_version for link in followed):
         return None
@@ -114,14 +120,14 @@
     """Return whether the own failure domain is cut off from all others.
 
     An instance that reaches a control instance of another failure domain, or one with
-    a leader, can still receive evacuations and has to obey the current ones.
+    a leader, can still receive changes of evacuations and must apply the current ones.
 
     Parameters
     ----------
     links : iterable of ControlLink
         All known control instances.
     live : sequence of ControlLink
-        Reachable control instances.
+        Control instances that sent a message within the lease.
     failure_domain : str
         Failure domain of this instance.
 
@@ -129,7 +135,8 @@
     -------
     bool
         Whether only control instances of the own failure domain are reachable, and
-        these are fewer than half of all and hear no leader.
+        none of these is in contact with a Raft leader. False if none is reachable, or
+        if the own failure domain has at least half of all known control instances.
     """
     all_links = list(links)
     own_domain = [link for link in all_links if link.failure_domain == failure_domain]
@@ -145,8 +152,8 @@
 ) -> bool:
     """Return whether no control instance of another failure domain answers.
 
-    Counts only instances with an unanswered request. Requires two of them, since a
-    single one may have failed by itself.
+    An instance does not answer if a request to it is unanswered for 0.3 s. Requires two
+    such instances, since a single one may have failed by itself.
 
     Parameters
     ----------
@@ -160,15 +167,13 @@
     Returns
     -------
     bool
-        Whether two of them, or the only one, are unreachable.
+        Whether two of them do not answer, or the only one. True if none is known.
     """
     others = [link for link in links if link.failure_domain not in ("", failure_domain)]
-    unreachable = [
-        link
-        for link in others
-        if now_s - link.unanswered_since_s >= _UNREACHABLE_TIMEOUT_S
+    silent = [
+        link for link in others if now_s - link.unanswered_since_s >= _SILENT_TIMEOUT_S
     ]
-    return len(unreachable) >= min(2, len(others))
+    return len(silent) >= min(2, len(others))
 
 
 def most_complete_rank(
@@ -179,7 +184,7 @@
     Parameters
     ----------
     live : iterable of ControlLink
-        Reachable control instances.
+        Control instances that sent a message within the lease.
     failure_domain : str, optional
         Failure domain of the entry instance.
 
@@ -189,12 +194,12 @@
         Rank from the control instance that counts the most entry instances; among
         equals one of the own failure domain. `UNKNOWN_RANK` if there is none.
     """
-    widest = max(
+    best = max(
         live,
         key=lambda link: (link.rank.count, link.failure_domain == failure_domain),
         default=None,
     )
-    return widest.rank if widest else UNKNOWN_RANK
+    return best.rank if best else UNKNOWN_RANK
 
 
 def has_additional_state(link: ControlLink, others: Sequence[ControlLink]) -> bool:
@@ -205,7 +210,7 @@
     link : ControlLink
         Control instance to compare.
     others : sequence of ControlLink
-        Other control instances.
+        Control instances to compare with; with `link` among them, the result is False.
 
     Returns
     -------
@@ -220,26 +225,26 @@
 def needs_full_poll(
     link: ControlLink, live: Iterable[ControlLink], now_s: float, routes_version: int
 ) -> bool:
-    """Return whether to request the full state of a control instance that answered.
+    """Return whether to poll a control instance that answered a probe or greeted.
 
     Parameters
     ----------
     link : ControlLink
         Control instance that answered a probe or sent a greeting.
     live : iterable of ControlLink
-        Reachable control instances.
+        Control instances that sent a message within the lease.
     now_s : float
         Current time.
     routes_version : int
-        Version of the current table; 0 if there is none and no flow can be served.
+        Version of the current routing table; 0 if there is none.
 
     Returns
     -------
     bool
-        False if an equivalent instance already sends its state.
+        False if instances that are polled already send the same state.
     """
     oldest_s = now_s - _POLL_REPLY_TIMEOUT_S
-    sending = [
+    sources = [
         other
         for other in live
         if other.complete
@@ -247,6 +252,6 @@
         or (other.seen_index > 0 and not other.is_unfollowed)
     ]
     offers_first_table = link.routes_version > 0 and not routes_version
-    if offers_first_table and not any(other.routes_version for other in sending):
+    if offers_first_table and not any(other.routes_version for other in sources):
         return True
-    return not sending or has_additional_state(link, sending)
+    return not sources or has_additional_state(link, sources)
--- a/src/agatethread/registry/_send_rounds.py
+++ b/src/agatethread/registry/_send_rounds.py
@@ -4,12 +4,13 @@
 
 from agatethread.registry._subscribers import Subscriber
 
-#: Handles many entry instances that need the full state: leaves processor time to read
-#: acknowledgements, so that messages are not resent needlessly.
+#: Leaves processor time to read acknowledgements while many entry instances need the
+#: full state, so that messages are not resent needlessly.
 MAX_ROUND_MESSAGES = 600
 _MIN_ROUND_MESSAGES = 50
 _ROUND_MESSAGES_INCREMENT = 50
-#: Share of resent messages that indicates unread acknowledgements; above packet loss.
+#: Share of resent messages that indicates unread acknowledgements; above the
+#: share that packet loss causes.
 _MAX_RESENT_SHARE = 0.25
 
 
@@ -43,8 +44,8 @@
     """Return subscribers in sending order, for a round that may not reach all of them.
 
     Control instances go first, then entry instances of the own failure domain, so that
-    each receives changes from one control instance before the others send them, too.
-    The next round continues where the previous one ended.
+    an entry instance receives a change from its own failure domain first. Within each
+    of these groups, the next round continues where the previous one ended.
 
     Parameters
     ----------
@@ -61,7 +62,7 @@
         All subscribers in order.
     """
 
-    def rank(item: tuple[bytes, Subscriber]) -> tuple[bool, bool, bool, bytes]:
+    def sort_key(item: tuple[bytes, Subscriber]) -> tuple[bool, bool, bool, bytes]:
         address, subscriber = item
         is_other_domain = subscriber.failure_domain != failure_domain
         return (
@@ -71,4 +72,4 @@
             address,
         )
 
-    return sorted(subscribers, key=rank)
+    return sorted(subscribers, key=sort_key)
--- a/src/agatethread/registry/_subscribers.py
+++ b/src/agatethread/registry/_subscribers.py
@@ -4,18 +4,19 @@
 
 from agatethread.wire.registry_pb2 import PRESENCE_UNKNOWN, ControlNode
 
-#: Initial time before unacknowledged changes are resent; above the round-trip time
+#: Initial resend timeout for unacknowledged run changes; above the round-trip time
 #: between failure domains.
 _RESEND_S = 0.15
-#: Limit of the resend timeout, which doubles with each resend. Handles lost receivers,
-#: and a sender too busy to read acknowledgements.
+#: Limit of the resend timeout, which doubles with each resend, to limit the load from
+#: unreachable receivers, and of a sender too busy to read acknowledgements.
 _MAX_RESEND_S = 0.6
+#: Time before an unacknowledged routing table is resent.
 _RESEND_ROUTES_S = 0.25
-#: Minimum time between two routing tables. Handles a burst of changes: tables that are
-#: replaced meanwhile are not sent.
+#: Minimum time between two newer routing tables to one subscriber: in a burst of
+#: changes, tables that are replaced meanwhile are not sent.
 _ROUTES_INTERVAL_S = 0.08
-#: Time without a poll after which a control instance counts as unreachable; entry
-#: instances compare these views between control instances.
+#: Time without a poll after which a control instance is left out of the list that is
+#: sent to subscribers; entry instances compare the lists of control instances.
 _CONTROL_TIMEOUT_S = 1.0
 
 
@@ -46,20 +47,21 @@
         self.failure_domain = ""
         self.is_control = False
         self.takes_numbers = False
-        #: Digest of the dispatchers that it has.
+        #: Digest of the dispatchers that the subscriber has received.
         self.dispatchers_digest = 0
         self.presence = PRESENCE_UNKNOWN
         self.last_poll_s = 0.0
         self.seen_index = 0
         self.sent_index = 0
-        #: Time since which it has not acknowledged the changes sent.
+        #: Start of the resend timeout: when the acknowledged index last advanced, or
+        #: all missing changes were last sent.
         self.unacknowledged_since_s = 0.0
-        #: Time without acknowledgement before changes are resent.
+        #: Time without an acknowledgement before changes are resent.
         self.resend_timeout_s = _RESEND_S
         self.routes_version = 0
         self.routes_sent_s = 0.0
         self.routes_sent_version = 0
-        #: Whether another control instance sends it routing tables.
+        #: Whether another control instance sends routing tables to the subscriber.
         self.without_routes = False
         self.evacuations_version = 0
         self.evacuations_sent_s = 0.0
@@ -78,6 +80,7 @@
         if index > self.seen_index:
             self.unacknowledged_since_s = now_s
             self.resend_timeout_s = _RESEND_S
+        # Less than before if the subscriber has restarted.
         self.seen_index = index
 
     def next_after_index(self, now_s: float) -> int:
@@ -98,7 +101,9 @@
         return self.seen_index
 
     def delta_key(self, now_s: float) -> tuple[int, bool, bool]:
-        """Return the arguments that select its messages; equal for equal messages.
+        """Return the arguments of `DeltaWriter.make_messages_after` for it.
+
+        Subscribers with equal arguments receive the same messages.
 
         Parameters
         ----------
@@ -143,8 +148,10 @@
 
         Parameters
         ----------
-        after_index, through_index : int
-            Indexes before the first and of the last change; equal if there were none.
+        after_index : int
+            Index before the first change.
+        through_index : int
+            Index of the last change; equal to `after_index` if there were none.
         now_s : float
             Current time.
 
@@ -169,7 +176,7 @@
 def list_controls(
     subscribers: Mapping[bytes, Subscriber], now_s: float
 ) -> list[ControlNode]:
-    """Return the reachable control instances among subscribers.
+    """Return the subscribed control instances that polled in the last second.
 
     Parameters
     ----------
--- a/src/agatethread/registry/_subscription.py
+++ b/src/agatethread/registry/_subscription.py
@@ -1,7 +1,7 @@
 """Polls control instances, and receives their state.
 
 An entry instance follows some control instances, see `_selection`; a control instance
-follows all others.
+follows all others that are reachable, see `Subscription.reachable_links`.
 """
 
 from collections.abc import Callable, Mapping
@@ -38,8 +38,8 @@
     Sightings,
 )
 
-#: Time without an answer after which a followed control instance is replaced; covers
-#: two polls and a resend.
+#: Lease of a control instance: time without a message after which it is no longer
+#: reachable, and is replaced if it was followed; covers two polls and a resend.
 _CONTROL_LEASE_S = 1.0
 
 log = make_logger("registry")
@@ -48,7 +48,7 @@
 
 
 def _ignore_report(number: int, sequence: int, starts: Mapping[str, int]) -> None:
-    """Ignore a report sent by run number."""
+    """Default of `Subscription.on_numbered_report`, for entry instances."""
 
 
 class Subscription:
@@ -76,7 +76,7 @@
         Counters of rejected messages.
     evacuations : KnownEvacuations or EvacuationPublisher, optional
         Store of received evacuations; a control instance passes its publisher, which
-        has them from the log.
+        gets evacuations from the Raft log.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         #: Presence of this entry instance, sent with polls.
         self.presence: Presence = PRESENCE_UNKNOWN
         self.routes_version = 0
-        #: Control instance that sends routing tables; None while all are asked.
+        #: Control instance that sends routing tables; None while all followed may.
         self._routes_source: ControlLink | None = None
         #: Called for each report sent by run number, with number, sequence and the
         #: start times known to the sender; control instances receive these.
@@ -139,7 +139,7 @@
         link.failure_domain = failure_domain or link.failure_domain
 
     def reachable_links(self) -> list[ControlLink]:
-        """Return the reachable control instances.
+        """Return the control instances that sent a message in the last second.
 
         Returns
         -------
@@ -150,7 +150,7 @@
         return [link for link in self.links.values() if link.last_reply_s > oldest_s]
 
     def probe_if_unreachable(self) -> None:
-        """Send probes while no control instance is reachable."""
+        """Send probes if no control instance sent a message in the last second."""
         if not self.reachable_links():
             self._prober.probe_unfollowed([])
 
@@ -179,7 +179,7 @@
             self._prober.probe_own_domain(polled)
 
     def _choose_own_domain(self) -> list[ControlLink]:
-        """Return the own failure domain's control instances, if they suffice."""
+        """Return those of the own failure domain if others exist and they suffice."""
         domain = self._failure_domain
         if all(link.failure_domain == domain for link in self.links.values()):
             return []
@@ -200,7 +200,7 @@
 
     def _mark_unreachable(self) -> None:
         for link in self.links.values():
-            # An instance without pending requests does not count as lost.
+            # Without a pending request, `unanswered_since_s` is infinite.
             unanswered_for_s = self._now_s() - link.unanswered_since_s
             if link.is_reachable and unanswered_for_s > _CONTROL_LEASE_S:
                 link.is_reachable = False
@@ -214,8 +214,8 @@
     def _send_probe(self, link: ControlLink) -> None:
         """Send a probe to a control instance.
 
-        Only control instances of the own failure domain answer a probe with their full
-        state, so that an entry instance does not receive it several times.
+        Only control instances of the own failure domain answer a probe with the changes
+        that are missing, so that an entry instance does not receive them several times.
         """
         link.probed_s = self._now_s()
         self._send_poll(link, wants_reply=True, probe=not self._is_control)
@@ -223,7 +223,7 @@
     def _send_poll(
         self, link: ControlLink, wants_reply: bool, probe: bool = False
     ) -> None:
-        if wants_reply:
+        if wants_reply:  # else an acknowledgement or, as a probe, an unsubscription
             link.requested_s = self._now_s()
             link.unanswered_since_s = min(link.unanswered_since_s, link.requested_s)
             if not probe:
@@ -282,7 +282,7 @@
         if delta.HasField("hub"):
             link.update_state(delta.hub, self._now_s())
             link.controls = frozenset(control.address for control in delta.controls)
-        if not (delta.runs or delta.reporting or delta.complete):
+        if not (delta.runs or delta.reporting or delta.complete):  # a greeting
             self._on_greeting(link)
             return
         if delta.after_index > link.seen_index:
@@ -299,7 +299,7 @@
             link.complete = True
 
     def _on_greeting(self, link: ControlLink) -> None:
-        """Request full state, unless an equivalent instance already sends it."""
+        """Poll a control instance, unless polled ones already send the same state."""
         now_s = self._now_s()
         if needs_full_poll(link, self.reachable_links(), now_s, self.routes_version):
             self._send_poll(link, wants_reply=True)
@@ -358,7 +358,7 @@
         Returns
         -------
         bool
-            Whether one that knows every backend server has sent them all.
+            Whether one that knows every reporting backend server has sent them all.
         """
         return any(link.settled and link.complete for link in self.reachable_links())
 
@@ -368,12 +368,12 @@
         Parameters
         ----------
         since_s : float
-            Time before which received counts are ignored.
+            Counts received earlier are ignored.
 
         Returns
         -------
         DomainView or None
-            None if no counts were received since.
+            None if no counts were received since then.
         """
         links = [
             link for link in self.links.values() if link.domain_received_s >= since_s
@@ -381,7 +381,7 @@
         return merge_counts(link.domain for link in links)
 
     def is_reporting(self, run_id: str, started_ms: int = START_NOT_TOLD) -> bool:
-        """Return whether a run may be alive, according to reachable instances.
+        """Return whether a run may be alive, according to reachable control instances.
 
         Parameters
         ----------
@@ -393,11 +393,11 @@
         Returns
         -------
         bool
-            True also if no reachable control instance has the full state.
+            True also if no reachable control instance has sent its full state.
         """
-        informed = [
+        with_full_state = [
             link for link in self.reachable_links() if link.settled and link.complete
         ]
-        if not informed:
+        if not with_full_state:
             return True
-        return any(link.reporting.get(run_id) == started_ms for link in informed)
+        return any(link.reporting.get(run_id) == started_ms for link in with_full_state)
