--- a/benchmarks/request_path.py
+++ b/benchmarks/request_path.py
@@ -186,7 +186,7 @@
 
     def offer() -> None:
         compressed = zlib.compress(table.SerializeToString())
-        hub.offer_routes(RoutesOffer(next(versions), compressed))
+        hub.publish_routes(RoutesOffer(next(versions), compressed))
 
     reports = (_TAB_COUNT + _ARCHIVE_COUNT) / _REPORT_INTERVAL_S / _CONTROL_COUNT
     polls = 3 * _ENTRY_COUNT / _POLL_INTERVAL_S / _CONTROL_COUNT
--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -119,7 +119,7 @@
         )
         self._dispatchers = DispatcherDirectory(
             settings.failure_domain,
-            self.hub.reachable_entries,
+            self.hub.active_entries,
             lambda: (run for _, run in self.runs.changes_after(0, False)),
             lambda: self.subscription.reachable_links(),
             now_s,
@@ -128,7 +128,7 @@
         if settings.parts.judges_answers:
             self.quality = self._make_quality_keeper()
         self._evacuations = EvacuationPublisher(
-            self.hub.reachable_subscribers, self._transport.send, now_s
+            self.hub.active_subscribers, self._transport.send, now_s
         )
         self.subscription = Subscription(
             settings.failure_domain,
@@ -150,7 +150,7 @@
         return QualityKeeper(
             self.settings.failure_domain,
             lambda: (run for _, run in self.runs.changes_after(0, False)),
-            self.hub.reachable_entries,
+            self.hub.active_entries,
             lambda: [link.address for link in self.subscription.reachable_links()],
             self._transport.send,
             self.timers.now_s,
@@ -281,7 +281,7 @@
         self._published_version = routes.version
         self.runs.services = frozenset(RoutingTable.FromString(routes.table).services)
         compressed = zlib.compress(routes.table)
-        self.hub.offer_routes(
+        self.hub.publish_routes(
             RoutesOffer(routes.version, compressed, self._evacuations.newest)
         )
 
@@ -322,7 +322,7 @@
     async def _spread(self, change_kind: str, run_id: str, leaving: bool) -> None:
         # An acknowledged drain or end must not be lost if this process fails.
         if not leaving:
-            self.hub.flush_soon()
+            self.hub.flush_if_due()
             return
         is_spread = await self.hub.flush_and_wait(_SPREAD_TIMEOUT_S)
         if not is_spread:
@@ -353,11 +353,11 @@
 
     def _on_run(self, run: BackendRun) -> None:
         if self.runs.apply_peer_run(run):
-            self.hub.flush_soon()
+            self.hub.flush_if_due()
 
     def _on_number(self, number: int, sequence: int, starts: Mapping[str, int]) -> None:
         if self.runs.apply_numbered_report(number, sequence, starts):
-            self.hub.flush_soon()
+            self.hub.flush_if_due()
 
     def measures(self) -> Measures:
         """Return the metrics of this instance.
--- a/src/agatethread/registry/_control_link.py
+++ b/src/agatethread/registry/_control_link.py
@@ -23,14 +23,14 @@
     #: Messages since the last acknowledgement.
     unacknowledged_count: int = 0
     #: Time of the last message, requested or not.
-    last_reply_s: float = float("-inf")
+    last_message_s: float = float("-inf")
     #: Time of the last probe.
     probed_s: float = float("-inf")
     #: Time of the last poll or probe.
     requested_s: float = float("-inf")
     #: Whether the log shows the control instance as reachable: until a request to it is
     #: unanswered for 1 s.
-    is_reachable: bool = False
+    is_logged_reachable: bool = False
     #: Time of the first unanswered request; infinite if there is none.
     unanswered_since_s: float = float("inf")
     #: Time of the last poll that was not a probe.
@@ -63,7 +63,7 @@
     #: Packed addresses of the control instances that polled it within 1 s.
     controls: frozenset[bytes] = frozenset()
     #: Start time of each live run at the control instance, by id.
-    reporting: dict[str, int] = field(default_factory=dict)
+    live_starts: dict[str, int] = field(default_factory=dict)
 
     def record_message(self, delta: Delta, now_s: float) -> None:
         """Store the header fields of a message; mark the instance as reachable.
@@ -75,8 +75,8 @@
         now_s : float
             Current time.
         """
-        if not self.is_reachable:
-            self.is_reachable = True
+        if not self.is_logged_reachable:
+            self.is_logged_reachable = True
             log.info(
                 Event.CONTROL_IN_SIGHT,
                 address=self.address.hex(),
@@ -85,7 +85,7 @@
             )
         if self.incarnation != delta.hub_incarnation:
             self.reset(delta.hub_incarnation)
-        self.last_reply_s = now_s
+        self.last_message_s = now_s
         self.unanswered_since_s = float("inf")
         self.settled = delta.settled
         self.failure_domain = delta.failure_domain
@@ -160,4 +160,4 @@
         self.settled = False
         self.complete = False
         self.is_unfollowed = False
-        self.reporting.clear()
+        self.live_starts.clear()
--- a/src/agatethread/registry/_own_domain.py
+++ b/src/agatethread/registry/_own_domain.py
@@ -31,17 +31,19 @@
 
 
 def choose_own_domain(
-    live: Iterable[ControlLink], failure_domain: str, may_be_incomplete: bool = False
+    reachable: Iterable[ControlLink],
+    failure_domain: str,
+    allow_incomplete: bool = False,
 ) -> list[ControlLink]:
     """Return the control instances of the own failure domain to follow alone.
 
     Parameters
     ----------
-    live : iterable of ControlLink
+    reachable : iterable of ControlLink
         Control instances that sent a message within their lease of 1 s.
     failure_domain : str
         Failure domain of the entry instance.
-    may_be_incomplete : bool, optional
+    allow_incomplete : bool, optional
         Whether to accept instances that are still sending their state.
 
     Returns
@@ -53,22 +55,21 @@
     """
     own_domain = [
         link
-        for link in live
-        if link.failure_domain == failure_domain
-        and _has_full_state(link, may_be_incomplete)
+        for link in reachable
+        if link.failure_domain == failure_domain and _is_usable(link, allow_incomplete)
     ]
     own_domain.sort(key=lambda link: link.address)
     return own_domain[:OWN_DOMAIN_COUNT] if len(own_domain) >= OWN_DOMAIN_COUNT else []
 
 
-def _has_full_state(link: ControlLink, may_be_incomplete: bool = False) -> bool:
+def _is_usable(link: ControlLink, allow_incomplete: bool = False) -> bool:
     """Return whether a control instance has the full state, and sent it if required."""
-    is_synchronized = link.complete or may_be_incomplete
+    is_synchronized = link.complete or allow_incomplete
     return link.hears_leader and link.settled and is_synchronized
 
 
-def count_other_instances(
-    links: Iterable[ControlLink], live: Iterable[ControlLink], failure_domain: str
+def choose_other_count(
+    links: Iterable[ControlLink], reachable: Iterable[ControlLink], failure_domain: str
 ) -> int:
     """Return the number of control instances of other failure domains to follow.
 
@@ -76,7 +77,7 @@
     ----------
     links : iterable of ControlLink
         All known control instances.
-    live : iterable of ControlLink
+    reachable : iterable of ControlLink
         Control instances that sent a message within their lease of 1 s.
     failure_domain : str
         Failure domain of the entry instance.
@@ -89,17 +90,15 @@
         its full state; else `FOLLOWED_COUNT` less one.
     """
     known_domains = [link.failure_domain for link in links]
-    own_domain = [link for link in live if link.failure_domain == failure_domain]
+    own_domain = [link for link in reachable if link.failure_domain == failure_domain]
     has_several = known_domains.count(failure_domain) >= OWN_DOMAIN_COUNT
     has_others = any(domain != failure_domain for domain in known_domains)
-    is_covered = len(own_domain) >= OWN_DOMAIN_COUNT or any(
-        map(_has_full_state, own_domain)
-    )
+    is_covered = len(own_domain) >= OWN_DOMAIN_COUNT or any(map(_is_usable, own_domain))
     return 1 if has_several and has_others and is_covered else FOLLOWED_COUNT - 1
 
 
-def find_unreachable_controls(
-    own_domain: Sequence[ControlLink], live: Iterable[ControlLink]
+def find_controls_missed_by(
+    own_domain: Sequence[ControlLink], reachable: Iterable[ControlLink]
 ) -> set[bytes]:
     """Return the control instances that those of the own failure domain do not reach.
 
@@ -109,17 +108,17 @@
     ----------
     own_domain : sequence of ControlLink
         Control instances of the own failure domain.
-    live : iterable of ControlLink
+    reachable : iterable of ControlLink
         All control instances that sent a message within their lease of 1 s.
 
     Returns
     -------
     set of bytes
-        Packed addresses of instances that are in `live`, or that polled one of these
-        within 1 s, but polled none of `own_domain`.
+        Packed addresses of instances that are in `reachable`, or polled one of these in
+        the last second, but polled none of `own_domain`.
     """
     missing: set[bytes] = set()
-    for link in live:
+    for link in reachable:
         missing.add(link.address)
         missing |= link.controls
     for link in own_domain:
@@ -128,8 +127,10 @@
     return missing
 
 
-def add_own_domain(
-    followed: Sequence[ControlLink], live: Iterable[ControlLink], failure_domain: str
+def add_own_domain_controls(
+    followed: Sequence[ControlLink],
+    reachable: Iterable[ControlLink],
+    failure_domain: str,
 ) -> list[ControlLink]:
     """Return the followed control instances with more of the own failure domain.
 
@@ -139,7 +140,7 @@
     ----------
     followed : sequence of ControlLink
         Followed control instances.
-    live : iterable of ControlLink
+    reachable : iterable of ControlLink
         Control instances that sent a message within their lease of 1 s.
     failure_domain : str
         Failure domain of the entry instance.
@@ -155,7 +156,7 @@
     added = sorted(
         (
             link
-            for link in live
+            for link in reachable
             if link.failure_domain == failure_domain and link not in followed
         ),
         key=lambda link: link.address,
@@ -185,7 +186,7 @@
     return max(counts.values()) >= OWN_DOMAIN_COUNT and len(counts) > 1
 
 
-class OwnDomainChoice:
+class OwnDomainSelector:
     """Decides at each poll whether the own failure domain suffices.
 
     Parameters
@@ -206,12 +207,12 @@
         self._first_reply_s: float | None = None
         self._is_sufficient = False
 
-    def choose(self, live: Sequence[ControlLink]) -> list[ControlLink]:
+    def choose(self, reachable: Sequence[ControlLink]) -> list[ControlLink]:
         """Return the control instances of the own failure domain, if they suffice.
 
         Parameters
         ----------
-        live : sequence of ControlLink
+        reachable : sequence of ControlLink
             Control instances that sent a message within their lease of 1 s.
 
         Returns
@@ -220,22 +221,24 @@
             Empty if other failure domains have to be followed, too.
         """
         now_s = self._now_s()
-        if not live:
+        if not reachable:
             # No recovery delay applies when the own failure domain answers again.
             self._first_reply_s, self._sufficient_since_s = None, float("-inf")
             return []
         if self._first_reply_s is None:
             self._first_reply_s = now_s
-        own_domain = self._judge(live, now_s)
+        own_domain = self._select(reachable, now_s)
         if bool(own_domain) != self._is_sufficient:
             self._is_sufficient = bool(own_domain)
-            self._log_change(own_domain, live)
+            self._log_change(own_domain, reachable)
         return own_domain
 
-    def _judge(self, live: Sequence[ControlLink], now_s: float) -> list[ControlLink]:
+    def _select(
+        self, reachable: Sequence[ControlLink], now_s: float
+    ) -> list[ControlLink]:
         is_initial_sync = now_s - self._first_reply_s < _INITIAL_SYNC_TIMEOUT_S
-        own_domain = choose_own_domain(live, self._failure_domain, is_initial_sync)
-        if own_domain and not find_unreachable_controls(own_domain, live):
+        own_domain = choose_own_domain(reachable, self._failure_domain, is_initial_sync)
+        if own_domain and not find_controls_missed_by(own_domain, reachable):
             self._last_consistent_s = now_s
         if (
             not own_domain
@@ -252,14 +255,14 @@
         )
 
     def _log_change(
-        self, own_domain: Sequence[ControlLink], live: Sequence[ControlLink]
+        self, own_domain: Sequence[ControlLink], reachable: Sequence[ControlLink]
     ) -> None:
         if own_domain:
             followed = [link.address.hex() for link in own_domain]
             log.info(Event.HOME_IS_ENOUGH, followed=followed)
             return
         candidates = [
-            link for link in live if link.failure_domain == self._failure_domain
+            link for link in reachable if link.failure_domain == self._failure_domain
         ]
         states = [
             f"{link.address.hex()} leader={link.hears_leader} settled={link.settled} "
@@ -267,6 +270,6 @@
             for link in candidates
         ]
         unreachable = [
-            address.hex() for address in find_unreachable_controls(candidates, live)
+            address.hex() for address in find_controls_missed_by(candidates, reachable)
         ]
         log.info(Event.HOME_NOT_ENOUGH, at_home=states, unheard=unreachable)
--- a/src/agatethread/registry/_presence.py
+++ b/src/agatethread/registry/_presence.py
@@ -58,7 +58,7 @@
 
 def rank_entries(
     entries: Iterable[tuple[str, bytes]],
-    reported: Mapping[str, int] = MappingProxyType({}),
+    reported_counts: Mapping[str, int] = MappingProxyType({}),
 ) -> dict[bytes, EntryRank]:
     """Return the ranks of entry instances, independent of the order of input.
 
@@ -70,7 +70,7 @@
     entries : iterable of tuple of (str, bytes)
         Failure domains and packed addresses of the entry instances that polled this
         control instance within their lease.
-    reported : mapping of str to int, optional
+    reported_counts : mapping of str to int, optional
         Counts by failure domain, as reported by control instances there.
 
     Returns
@@ -78,11 +78,11 @@
     dict of bytes to EntryRank
         Ranks by packed address.
     """
-    by_domain: dict[str, list[bytes]] = {domain: [] for domain in reported}
+    by_domain: dict[str, list[bytes]] = {domain: [] for domain in reported_counts}
     for domain, address in entries:
         by_domain.setdefault(domain, []).append(address)
     sizes = {
-        domain: max(len(addresses), reported.get(domain, 0))
+        domain: max(len(addresses), reported_counts.get(domain, 0))
         for domain, addresses in by_domain.items()
     }
     count = sum(sizes.values())
@@ -102,14 +102,14 @@
     rank: EntryRank
 
 
-def count_entries_by_domain(hubs: Iterable[_EntryCountSource]) -> dict[str, int]:
+def count_entries_by_domain(controls: Iterable[_EntryCountSource]) -> dict[str, int]:
     """Return the reported number of entry instances of each failure domain.
 
     Between control instances, the count of a rank is that of one failure domain.
 
     Parameters
     ----------
-    hubs : iterable of ControlLink
+    controls : iterable of ControlLink
         Control instances that report them.
 
     Returns
@@ -118,13 +118,13 @@
         Highest reported count by failure domain.
     """
     counts: dict[str, int] = {}
-    for hub in hubs:
-        previous_count = counts.get(hub.failure_domain, 0)
-        counts[hub.failure_domain] = max(previous_count, hub.rank.count)
+    for control in controls:
+        previous_count = counts.get(control.failure_domain, 0)
+        counts[control.failure_domain] = max(previous_count, control.rank.count)
     return counts
 
 
-def count_domain(
+def count_domain_entries(
     subscribers: Mapping[bytes, PollingInstance], address: bytes, now_s: float
 ) -> DomainCounts:
     """Return counts of the other entry instances of a subscriber's failure domain.
@@ -161,12 +161,12 @@
     return counts
 
 
-def merge_counts(reported: Iterable[DomainCounts]) -> DomainView | None:
+def merge_counts(reported_counts: Iterable[DomainCounts]) -> DomainView | None:
     """Return the highest of each count that control instances report.
 
     Parameters
     ----------
-    reported : iterable of DomainCounts
+    reported_counts : iterable of DomainCounts
         Counts from each control instance.
 
     Returns
@@ -174,7 +174,7 @@
     DomainView or None
         None if there are no counts.
     """
-    counts = list(reported)
+    counts = list(reported_counts)
     if not counts:
         return None
     return DomainView(
--- a/src/agatethread/registry/_probing.py
+++ b/src/agatethread/registry/_probing.py
@@ -16,12 +16,12 @@
 _OWN_DOMAIN_PROBE_INTERVAL_S = 1.0
 #: Interval between probes of other failure domains while only the own one is followed.
 #: Short enough to detect a partition soon, at little traffic between domains.
-_WATCH_INTERVAL_S = 0.7
+_OTHER_DOMAIN_PROBE_INTERVAL_S = 0.7
 #: Time without an answer to a probe after which others are probed, too.
 _REPLY_TIMEOUT_S = 0.3
 
 
-class Prober:
+class ControlProber:
     """Sends probes to control instances.
 
     Parameters
@@ -51,7 +51,7 @@
         self._links = links
         self._send_probe = send_probe
         self._now_s = now_s
-        self._watched: ControlLink | None = None
+        self._last_probed: ControlLink | None = None
 
     def probe_unfollowed(self, followed: Sequence[ControlLink]) -> None:
         """Send probes to control instances that are not followed.
@@ -64,16 +64,16 @@
         followed : sequence of ControlLink
             Followed control instances.
         """
-        pause_s = _PROBE_INTERVAL_S if followed else _URGENT_PROBE_INTERVAL_S
+        interval_s = _PROBE_INTERVAL_S if followed else _URGENT_PROBE_INTERVAL_S
         others = [link for link in self._links() if link not in followed]
         limit_count = FOLLOWED_COUNT if followed and not self._is_control else None
-        self._probe_some(others, pause_s, limit_count)
+        self._probe_due(others, interval_s, limit_count)
 
-    def _probe_some(
-        self, links: Sequence[ControlLink], pause_s: float, limit_count: int | None
+    def _probe_due(
+        self, links: Sequence[ControlLink], interval_s: float, limit_count: int | None
     ) -> None:
         now_s = self._now_s()
-        due = [link for link in links if now_s - link.probed_s >= pause_s]
+        due = [link for link in links if now_s - link.probed_s >= interval_s]
         random.shuffle(due)
         for link in due[:limit_count]:
             self._send_probe(link)
@@ -92,7 +92,7 @@
         own_domain = [link for link in self._links() if link.failure_domain == domain]
         missing = [link for link in own_domain if link not in followed]
         if len(own_domain) - len(missing) < OWN_DOMAIN_COUNT:
-            self._probe_some(missing, _OWN_DOMAIN_PROBE_INTERVAL_S, None)
+            self._probe_due(missing, _OWN_DOMAIN_PROBE_INTERVAL_S, None)
 
     def probe_other_domains(self, followed: Sequence[ControlLink]) -> None:
         """Send probes to control instances of other failure domains in turn.
@@ -111,18 +111,19 @@
             for link in self._links()
             if link not in followed and link.failure_domain != self._failure_domain
         ]
-        watched = self._watched
-        if watched is not None and _is_unanswered(watched, now_s):
-            self._probe_some(others, _PROBE_INTERVAL_S, FOLLOWED_COUNT)
+        last_probed = self._last_probed
+        if last_probed is not None and _is_unanswered(last_probed, now_s):
+            self._probe_due(others, _PROBE_INTERVAL_S, FOLLOWED_COUNT)
         elif others and (
-            watched is None or now_s - watched.probed_s >= _WATCH_INTERVAL_S
+            last_probed is None
+            or now_s - last_probed.probed_s >= _OTHER_DOMAIN_PROBE_INTERVAL_S
         ):
-            self._watched = min(others, key=lambda link: link.probed_s)
-            self._send_probe(self._watched)
+            self._last_probed = min(others, key=lambda link: link.probed_s)
+            self._send_probe(self._last_probed)
 
 
 def _is_unanswered(link: ControlLink, now_s: float) -> bool:
     return (
-        link.last_reply_s < link.requested_s
+        link.last_message_s < link.requested_s
         and now_s - link.requested_s >= _REPLY_TIMEOUT_S
     )
--- a/src/agatethread/registry/_publisher.py
+++ b/src/agatethread/registry/_publisher.py
@@ -12,14 +12,14 @@
 from agatethread.registry._presence import (
     UNKNOWN_RANK,
     EntryRank,
-    count_domain,
+    count_domain_entries,
     count_entries_by_domain,
     rank_entries,
 )
 from agatethread.registry._runs import RunTable
 from agatethread.registry._send_rounds import (
     MAX_ROUND_MESSAGES,
-    next_limit,
+    next_message_limit,
     order_round,
 )
 from agatethread.registry._sightings import SightingPool
@@ -84,7 +84,7 @@
         self._deltas = DeltaWriter(runs, self._incarnation, failure_domain, is_settled)
         self._subscribers: dict[bytes, Subscriber] = {}
         self._waiters = IndexWaiters()
-        self._offer: RoutesOffer | None = None
+        self._table: RoutesOffer | None = None
         self._chunks: list[RegistryMessage] = []
         self._last_flush_s = now_s()
         #: Messages sent since the last round began, and resent ones among them.
@@ -93,7 +93,7 @@
         #: First subscriber that the last limited round did not reach.
         self._next_address = b""
         #: Greeted entry instances of the own failure domain that have not polled yet.
-        self._expected: dict[bytes, Subscriber] = {}
+        self._greeted: dict[bytes, Subscriber] = {}
         self._sightings = SightingPool()
         self._watchers = Watchers()
         self._ranks: dict[bytes, EntryRank] = {}
@@ -104,20 +104,20 @@
         #: Returns the other control instances that sent a message in the last second.
         self.list_other_controls: Callable[[], Iterable[ControlLink]] = tuple
 
-    def offer_routes(self, offer: RoutesOffer) -> None:
+    def publish_routes(self, table: RoutesOffer) -> None:
         """Store and send a routing table; the first also to greeted entry instances.
 
         Parameters
         ----------
-        offer : RoutesOffer
+        table : RoutesOffer
             Agreed routing table.
         """
-        is_first = self._offer is None
-        self._offer = offer
-        self._chunks = split_routes(offer)
+        is_first = self._table is None
+        self._table = table
+        self._chunks = split_routes(table)
         self.flush()
         if is_first:
-            for address, subscriber in self._expected.items():
+            for address, subscriber in self._greeted.items():
                 self._send_routes(subscriber, address)
 
     def known_entries(self) -> tuple[KnownEntry, ...]:
@@ -153,13 +153,13 @@
             if entry.failure_domain != self._failure_domain:
                 self._send(self._make_greeting(), entry.address)
                 continue
-            subscriber = self._expected[entry.address] = Subscriber()
+            subscriber = self._greeted[entry.address] = Subscriber()
             self._send_changes(deltas, subscriber, entry.address)
 
     def _make_greeting(self) -> RegistryMessage:
         """Return a message with the state of this instance, but without runs."""
         message = self._deltas.make_empty_message(0, 0)
-        self._add_reply_fields(message.delta)
+        self._add_control_state(message.delta)
         return message
 
     def on_poll(self, poll: Poll, address: bytes) -> None:
@@ -186,11 +186,11 @@
             return
         subscriber = self._subscribers.get(address)
         if subscriber is None:
-            subscriber = self._expected.pop(address, None) or Subscriber()
+            subscriber = self._greeted.pop(address, None) or Subscriber()
             self._subscribers[address] = subscriber
         is_same_incarnation = poll.hub_incarnation == self._incarnation
         seen_index = poll.seen_index if is_same_incarnation else 0
-        subscriber.acknowledge(seen_index, self._now_s())
+        subscriber.store_acknowledgement(seen_index, self._now_s())
         subscriber.failure_domain = poll.failure_domain
         subscriber.is_control = poll.is_control
         subscriber.presence = poll.presence
@@ -205,7 +205,7 @@
         self._send_routes(subscriber, address)
         self._notify_waiters()
 
-    def flush_soon(self) -> None:
+    def flush_if_due(self) -> None:
         """Send pending changes, or after a recent round leave them to the timer."""
         pause_s = _PAUSE_PER_SUBSCRIBER_S * len(self._subscribers)
         pause_s = max(pause_s, _PAUSE_PER_MESSAGE_S * self._sent_count)
@@ -216,23 +216,23 @@
         """Send new changes, and resend those not acknowledged in time."""
         now_s = self._last_flush_s = self._now_s()
         previous_counts = (self._sent_count, self._resent_count)
-        self._limit_count = next_limit(self._limit_count, *previous_counts)
+        self._limit_count = next_message_limit(self._limit_count, *previous_counts)
         self._sent_count = self._resent_count = 0
         self._remove_expired(now_s)
         # Most subscribers have the same index and share the messages.
         prepared: dict[tuple[int, bool, bool], list[RegistryMessage]] = {}
         ordered = order_round(
-            self.reachable_subscribers(), self._failure_domain, self._next_address
+            self.active_subscribers(), self._failure_domain, self._next_address
         )
         for address, subscriber in ordered:
             if self._sent_count >= self._limit_count:
                 self._next_address = address
                 break
-            delta_key = subscriber.delta_key(now_s)
-            if delta_key not in prepared:
-                prepared[delta_key] = self._deltas.make_messages_after(*delta_key)
-            self._sent_count += len(prepared[delta_key])
-            self._send_changes(prepared[delta_key], subscriber, address)
+            arguments = subscriber.delta_arguments(now_s)
+            if arguments not in prepared:
+                prepared[arguments] = self._deltas.make_messages_after(*arguments)
+            self._sent_count += len(prepared[arguments])
+            self._send_changes(prepared[arguments], subscriber, address)
             self._send_routes(subscriber, address)
         self._rank_entries()
         self._notify_waiters()
@@ -240,7 +240,7 @@
     def _rank_entries(self) -> None:
         entries = [
             (subscriber.failure_domain, address)
-            for address, subscriber in self.reachable_entries()
+            for address, subscriber in self.active_entries()
         ]
         self._own_domain_count = sum(
             domain == self._failure_domain for domain, _ in entries
@@ -256,15 +256,15 @@
                 del self._subscribers[address]
 
     def _reply(self, subscriber: Subscriber, address: bytes) -> None:
-        delta_key = subscriber.delta_key(self._now_s())
-        after_index = delta_key[0]
-        messages = self._deltas.make_messages_after(*delta_key)
+        arguments = subscriber.delta_arguments(self._now_s())
+        after_index = arguments[0]
+        messages = self._deltas.make_messages_after(*arguments)
         if not messages:
             messages = [self._deltas.make_empty_message(after_index, after_index)]
             messages[-1].delta.complete = True
         messages = messages[: max(1, self._limit_count - self._sent_count)]
         self._sent_count += len(messages)
-        self._add_reply_fields(messages[-1].delta)
+        self._add_control_state(messages[-1].delta)
         rank = self._ranks.get(address, UNKNOWN_RANK)
         if subscriber.is_control:
             # A control instance gets the entry count of this domain as its rank.
@@ -274,7 +274,7 @@
         self.add_dispatchers(messages[-1].delta.hub, subscriber)
         if subscriber.presence == PRESENCE_LEAVING:
             # Counting scans all subscribers: done only for a leaving instance.
-            counts = count_domain(self._subscribers, address, self._now_s())
+            counts = count_domain_entries(self._subscribers, address, self._now_s())
             messages[-1].delta.hub.domain.CopyFrom(counts)
         self._send_changes(messages, subscriber, address)
 
@@ -292,22 +292,22 @@
         if subscriber.mark_sent(after_index, through_index, self._now_s()):
             self._resent_count += len(messages)
 
-    def _add_reply_fields(self, delta: Delta) -> None:
+    def _add_control_state(self, delta: Delta) -> None:
         delta.controls.extend(list_controls(self._subscribers, self._now_s()))
         delta.hub.hears_leader = self._hears_leader()
-        delta.hub.routes_version = self._offer.version if self._offer else 0
+        delta.hub.routes_version = self._table.version if self._table else 0
 
     def _send_routes(self, subscriber: Subscriber, address: bytes) -> None:
-        offer = self._offer
-        if offer is None or subscriber.is_control or subscriber.without_routes:
+        table = self._table
+        if table is None or subscriber.is_control or subscriber.without_routes:
             return
-        if not subscriber.try_start_routes(offer.version, self._now_s()):
+        if not subscriber.mark_routes_sent_if_due(table.version, self._now_s()):
             return
         self._sent_count += len(self._chunks)
         for chunk in self._chunks:
             self._send(chunk, address)
 
-    def reachable_entries(self) -> Iterator[tuple[bytes, Subscriber]]:
+    def active_entries(self) -> Iterator[tuple[bytes, Subscriber]]:
         """Yield the entry instances that polled within the lease of 2 s.
 
         Yields
@@ -315,11 +315,11 @@
         tuple of (bytes, Subscriber)
             Packed address and subscriber.
         """
-        for address, subscriber in self.reachable_subscribers():
+        for address, subscriber in self.active_subscribers():
             if not subscriber.is_control:
                 yield address, subscriber
 
-    def reachable_subscribers(self) -> Iterator[tuple[bytes, Subscriber]]:
+    def active_subscribers(self) -> Iterator[tuple[bytes, Subscriber]]:
         """Yield the instances of both roles that polled within the lease of 2 s."""
         oldest_s = self._now_s() - _SUBSCRIBER_LEASE_S
         for address, subscriber in self._subscribers.items():
@@ -355,7 +355,7 @@
         digest = self._sightings.digest(now_s)
         if digest.runs:
             message = RegistryMessage(sightings=digest)
-            for address, _ in self.reachable_entries():
+            for address, _ in self.active_entries():
                 self._send(message, address)
         if not has_self_sufficient_domain(
             self._failure_domain, self.list_other_controls()
@@ -364,7 +364,7 @@
         sums = self._sightings.sum_up_domain(self._failure_domain, now_s)
         if sums.runs:
             message = RegistryMessage(sightings=sums)
-            for address, subscriber in self.reachable_subscribers():
+            for address, subscriber in self.active_subscribers():
                 if (
                     subscriber.is_control
                     and subscriber.failure_domain != self._failure_domain
@@ -396,7 +396,7 @@
         if not self._waiters:
             return
         seen_indexes = [
-            subscriber.seen_index for _, subscriber in self.reachable_subscribers()
+            subscriber.seen_index for _, subscriber in self.active_subscribers()
         ]
         self._waiters.settle(min(seen_indexes, default=self._runs.index))
 
--- a/src/agatethread/registry/_entries.py
+++ b/src/agatethread/registry/_run_index.py
@@ -11,7 +11,7 @@
 _FULL_REPORT_INTERVAL = 8
 
 
-class RunEntry:
+class RunRecord:
     """A run with the time of its last report and the indexes of its changes.
 
     Parameters
@@ -22,7 +22,7 @@
 
     __slots__ = (
         "changed_index",
-        "details_index",
+        "capacity_index",
         "direct_index",
         "last_report_s",
         "run",
@@ -38,46 +38,46 @@
         #: Index of the last report received directly from the run.
         self.direct_index = 0
         #: Index of the last direct report that changed slots or warm-up time.
-        self.details_index = 0
+        self.capacity_index = 0
 
 
 class RunIndex:
     """Stores the newest run of each id, and the order in which runs changed."""
 
     def __init__(self) -> None:
-        self._by_id: dict[str, RunEntry] = {}
+        self._by_id: dict[str, RunRecord] = {}
         #: By id, in order of change, so that listing recent changes does not scan all
         #: runs.
-        self._by_change: dict[str, RunEntry] = {}
+        self._by_change: dict[str, RunRecord] = {}
         #: By id, in order of change or direct report.
-        self._by_report: dict[str, RunEntry] = {}
-        self._by_number: dict[int, RunEntry] = {}
+        self._by_report: dict[str, RunRecord] = {}
+        self._by_number: dict[int, RunRecord] = {}
         #: Runs that reported their start time, by id.
-        self._with_start_time: dict[str, RunEntry] = {}
-        self._holders: dict[bytes, RunEntry] = {}
+        self._with_start_time: dict[str, RunRecord] = {}
+        self._by_address: dict[bytes, RunRecord] = {}
 
     def __len__(self) -> int:
         return len(self._by_id)
 
-    def __iter__(self) -> Iterator[RunEntry]:
+    def __iter__(self) -> Iterator[RunRecord]:
         return iter(list(self._by_id.values()))
 
-    def get(self, run_id: str) -> RunEntry | None:
+    def get(self, run_id: str) -> RunRecord | None:
         """Return the newest run of an id."""
         return self._by_id.get(run_id)
 
-    def get_address_holder(self, address: bytes, except_id: str) -> RunEntry | None:
+    def get_other_by_address(self, address: bytes, except_id: str) -> RunRecord | None:
         """Return the run of another id that has not ended and holds an address."""
-        holder = self._holders.get(address)
+        holder = self._by_address.get(address)
         return None if holder is None or holder.run.id == except_id else holder
 
-    def get_number_holder(self, number: int, except_id: str) -> RunEntry | None:
+    def get_other_by_number(self, number: int, except_id: str) -> RunRecord | None:
         """Return the run of another id that has the same run number."""
         holder = self._by_number.get(number)
         is_available = holder is None or holder.run.id == except_id
         return None if is_available else holder
 
-    def get_by_number(self, number: int) -> RunEntry | None:
+    def get_by_number(self, number: int) -> RunRecord | None:
         """Return the run with a run number."""
         return self._by_number.get(number)
 
@@ -87,82 +87,84 @@
         Stops counting once as many live runs have none, since this is called for every
         report without a start time.
         """
-        with_count = sum(is_live(entry.run) for entry in self._with_start_time.values())
+        with_count = sum(
+            is_live(record.run) for record in self._with_start_time.values()
+        )
         without = (
-            entry
-            for entry in self._by_id.values()
-            if entry.run.started_ms == START_NOT_TOLD and is_live(entry.run)
+            record
+            for record in self._by_id.values()
+            if record.run.started_ms == START_NOT_TOLD and is_live(record.run)
         )
         return sum(1 for _ in islice(without, with_count)) < with_count
 
-    def add(self, run: BackendRun) -> RunEntry:
+    def add(self, run: BackendRun) -> RunRecord:
         """Store a run; replaces an earlier run of the same id."""
         self._by_change.pop(run.id, None)
         self._by_report.pop(run.id, None)
-        entry = self._by_id[run.id] = RunEntry(run)
+        record = self._by_id[run.id] = RunRecord(run)
         self._with_start_time.pop(run.id, None)
         if run.started_ms != START_NOT_TOLD:
-            self._with_start_time[run.id] = entry
+            self._with_start_time[run.id] = record
         if run.number:
-            self._by_number[run.number] = entry
+            self._by_number[run.number] = record
         if run.address and not run.ended:
-            self._holders[run.address] = entry
-        return entry
+            self._by_address[run.address] = record
+        return record
 
-    def release_address(self, entry: RunEntry) -> None:
+    def release_address(self, record: RunRecord) -> None:
         """Release the address of a run that has ended."""
-        if self._holders.get(entry.run.address) is entry:
-            del self._holders[entry.run.address]
+        if self._by_address.get(record.run.address) is record:
+            del self._by_address[record.run.address]
 
-    def mark_changed(self, entry: RunEntry, index: int) -> None:
+    def mark_changed(self, record: RunRecord, index: int) -> None:
         """Mark a run as changed for all subscribers."""
-        entry.changed_index = index
-        _move_to_end(self._by_change, entry)
-        _move_to_end(self._by_report, entry)
+        record.changed_index = index
+        _move_to_end(self._by_change, record)
+        _move_to_end(self._by_report, record)
 
-    def mark_reported(self, entry: RunEntry, index: int) -> None:
+    def mark_reported(self, record: RunRecord, index: int) -> None:
         """Mark a run as having reported directly to this instance."""
-        entry.direct_index = index
-        _move_to_end(self._by_report, entry)
+        record.direct_index = index
+        _move_to_end(self._by_report, record)
 
-    def changed_after(self, index: int, with_reports: bool) -> list[RunEntry]:
+    def list_changed_after(self, index: int, with_reports: bool) -> list[RunRecord]:
         """Return the runs that changed after an index, oldest first.
 
         With `with_reports`, also those that reported directly without a change.
         """
         order = self._by_report if with_reports else self._by_change
         newer = []
-        for entry in reversed(order.values()):
-            if last_index(entry, with_reports) <= index:
+        for record in reversed(order.values()):
+            if last_index(record, with_reports) <= index:
                 break
-            newer.append(entry)
+            newer.append(record)
         newer.reverse()
         return newer
 
-    def remove(self, entry: RunEntry) -> None:
+    def remove(self, record: RunRecord) -> None:
         """Delete a run."""
-        run_id = entry.run.id
+        run_id = record.run.id
         del self._by_id[run_id]
         self._by_change.pop(run_id, None)
         self._by_report.pop(run_id, None)
         self._with_start_time.pop(run_id, None)
-        if self._by_number.get(entry.run.number) is entry:
-            del self._by_number[entry.run.number]
+        if self._by_number.get(record.run.number) is record:
+            del self._by_number[record.run.number]
 
 
-def _move_to_end(order: dict[str, RunEntry], entry: RunEntry) -> None:
-    order.pop(entry.run.id, None)
-    order[entry.run.id] = entry
+def _move_to_end(order: dict[str, RunRecord], record: RunRecord) -> None:
+    order.pop(record.run.id, None)
+    order[record.run.id] = record
 
 
-def last_index(entry: RunEntry, with_reports: bool) -> int:
+def last_index(record: RunRecord, with_reports: bool) -> int:
     """Return the index of the last change, or direct report if `with_reports`."""
     if with_reports:
-        return max(entry.changed_index, entry.direct_index)
-    return entry.changed_index
+        return max(record.changed_index, record.direct_index)
+    return record.changed_index
 
 
-def can_send_by_number(entry: RunEntry, after_index: int) -> bool:
+def is_number_sufficient(record: RunRecord, after_index: int) -> bool:
     """Return whether a report may be sent by run number.
 
     Some reports are sent in full all the same, so that a receiver that had to reject
@@ -170,7 +172,7 @@
 
     Parameters
     ----------
-    entry : RunEntry
+    record : RunRecord
         Run that reported after the index.
     after_index : int
         Index after which changes are sent to the receiver.
@@ -181,20 +183,20 @@
         False if the receiver may lack the current state of the run, and for each report
         that is sent in full, see `_FULL_REPORT_INTERVAL`.
     """
-    run = entry.run
+    run = record.run
     if not (run.number and run.started_ms) or run.sequence % _FULL_REPORT_INTERVAL == 0:
         return False
-    return max(entry.changed_index, entry.details_index) <= after_index
+    return max(record.changed_index, record.capacity_index) <= after_index
 
 
-def apply_numbered_report(
-    entry: RunEntry, sequence: int, started_ms: int, now_s: float
+def refresh_by_number(
+    record: RunRecord, sequence: int, started_ms: int, now_s: float
 ) -> bool:
     """Apply a report that was sent by run number.
 
     Parameters
     ----------
-    entry : RunEntry
+    record : RunRecord
         Stored run; updated in place.
     sequence : int
         Sequence of the report.
@@ -208,12 +210,12 @@
     bool
         False if the report belongs to another start or is not newer.
     """
-    run = entry.run
+    run = record.run
     is_old = run.ended or sequence <= run.sequence
     if is_old or run.started_ms != started_ms:
         return False
     run.sequence = sequence
-    entry.last_report_s = now_s
+    record.last_report_s = now_s
     return True
 
 
@@ -267,12 +269,12 @@
     )
 
 
-def describe(entry: RunEntry, now_s: float) -> dict[str, object]:
+def describe(record: RunRecord, now_s: float) -> dict[str, object]:
     """Return a run for a state dump.
 
     Parameters
     ----------
-    entry : RunEntry
+    record : RunRecord
         Stored run.
     now_s : float
         Current time.
@@ -282,7 +284,7 @@
     dict
         JSON-compatible fields.
     """
-    run = entry.run
+    run = record.run
     return {
         "id": run.id,
         "started_ms": run.started_ms,
@@ -291,5 +293,5 @@
         "draining": run.draining,
         "ended": run.ended,
         "silent": run.silent,
-        "heard_ago_s": round(now_s - entry.last_report_s, 3),
+        "heard_ago_s": round(now_s - record.last_report_s, 3),
     }
--- a/src/agatethread/registry/_run_logs.py
+++ b/src/agatethread/registry/_run_logs.py
@@ -2,15 +2,15 @@
 
 from agatethread.observability import Event, make_logger
 from agatethread.registry._admission import Verdict
-from agatethread.registry._entries import RunEntry
 from agatethread.registry._report import Report
+from agatethread.registry._run_index import RunRecord
 from agatethread.wire.registry_pb2 import BackendRun
 
 log = make_logger("registry")
 
 
 def log_not_taken(
-    report: Report, verdict: Verdict, holder: RunEntry | None, now_s: float
+    report: Report, verdict: Verdict, holder: RunRecord | None, now_s: float
 ) -> None:
     """Log a report that was not accepted.
 
@@ -20,7 +20,7 @@
         The report.
     verdict : Verdict
         The reason.
-    holder : RunEntry or None
+    holder : RunRecord or None
         The run of another id that holds its address.
     now_s : float
         Present time.
--- a/src/agatethread/registry/_runs.py
+++ b/src/agatethread/registry/_runs.py
@@ -15,17 +15,17 @@
     end_is_of,
     judge_report,
 )
-from agatethread.registry._entries import (
-    RunEntry,
+from agatethread.registry._report import START_NOT_TOLD, Report
+from agatethread.registry._run_index import (
     RunIndex,
-    apply_numbered_report,
-    can_send_by_number,
+    RunRecord,
     describe,
+    is_number_sufficient,
     last_index,
+    refresh_by_number,
     to_report,
     to_run,
 )
-from agatethread.registry._report import START_NOT_TOLD, Report
 from agatethread.registry._run_logs import (
     log_end_not_taken,
     log_ended,
@@ -37,8 +37,7 @@
 
 #: Reporting intervals without a report before a run is silent; tolerates two losses.
 _SILENT_INTERVALS = 2.5
-#: Added to these, for a server that searches for a control instance that answers.
-_SILENT_MARGIN_S = 1.0
+_SILENT_MARGIN_S = 1.0  # added, to find a control instance that answers
 #: Reporting intervals without a report after which another run may use the address if
 #: it is unknown which of them started later.
 _ADDRESS_LEASE_INTERVALS = 1.5
@@ -61,7 +60,7 @@
         self._address_lease_s = _ADDRESS_LEASE_INTERVALS * interval_s
         self._silent_s = _SILENT_INTERVALS * interval_s + _SILENT_MARGIN_S
         self._now_s = now_s
-        self._entries = RunIndex()
+        self._records = RunIndex()
         #: Names of the configured services; empty before the first routing table.
         self.services: frozenset[str] = frozenset()
         self._last_sweep_s = now_s()
@@ -71,7 +70,7 @@
         self.changed_index = 0
 
     def __len__(self) -> int:
-        return len(self._entries)
+        return len(self._records)
 
     def get(self, run_id: str) -> BackendRun | None:
         """Return the newest run of an id.
@@ -86,8 +85,8 @@
         BackendRun or None
             None if the id is unknown.
         """
-        entry = self._entries.get(run_id)
-        return entry.run if entry else None
+        record = self._records.get(run_id)
+        return record.run if record else None
 
     def report(self, report: Report) -> bool:
         """Apply a report received directly from its run.
@@ -105,88 +104,89 @@
         Raises
         ------
         ReportRefusedError
-            If the report contradicts the known runs, its service is unknown, or its
-            start time is missing; nothing was changed.
+            If the report is refused, see `Verdict`; nothing was changed.
         """
-        verdict = self._judge(report)
+        verdict = self._check_report(report)
         if verdict in (Verdict.STARTS, Verdict.CONTINUES):
-            verdict = self._check_writer(report, verdict)
-        entry = self._get_or_admit(report, verdict)
+            verdict = self._check_service_and_start(report, verdict)
+        record = self._get_or_admit(report, verdict)
         if verdict.is_refusal:
             raise ReportRefusedError(report.id, verdict.value)
-        if entry is None:
+        if record is None:
             return False
 
-        previous_details = entry.run.slots, entry.run.warm_up_ms
-        changed = self._refresh(entry, report)
+        previous_capacity = record.run.slots, record.run.warm_up_ms
+        changed = self._refresh(record, report)
         # A change has advanced the index already.
         if not changed:
             self.index += 1
-        self._entries.mark_reported(entry, self.index)
-        if previous_details != (entry.run.slots, entry.run.warm_up_ms):
-            entry.details_index = self.index
+        self._records.mark_reported(record, self.index)
+        if previous_capacity != (record.run.slots, record.run.warm_up_ms):
+            record.capacity_index = self.index
         return changed
 
-    def _check_writer(self, report: Report, verdict: Verdict) -> Verdict:
+    def _check_service_and_start(self, report: Report, verdict: Verdict) -> Verdict:
         """Return a refusal for an unknown service or start time, else the verdict."""
         starts = verdict is Verdict.STARTS
         # Before the first routing table, every service is accepted.
         if starts and self.services and report.service not in self.services:
             return Verdict.UNKNOWN_SERVICE
-        if report.started_ms == START_NOT_TOLD and self._entries.most_have_start():
+        if report.started_ms == START_NOT_TOLD and self._records.most_have_start():
             return Verdict.START_MISSING
         return verdict
 
-    def _judge(self, report: Report) -> Verdict:
-        holder = self._entries.get_address_holder(report.address, report.id)
-        number_holder = self._entries.get_number_holder(report.number, report.id)
+    def _check_report(self, report: Report) -> Verdict:
+        holder = self._records.get_other_by_address(report.address, report.id)
+        number_holder = self._records.get_other_by_number(report.number, report.id)
         return judge_report(
             report,
-            self._to_known(self._entries.get(report.id)),
-            self._to_known(holder),
+            self._to_known_run(self._records.get(report.id)),
+            self._to_known_run(holder),
             number_holder.run if number_holder else None,
             self._address_lease_s,
         )
 
-    def _to_known(self, entry: RunEntry | None) -> Known | None:
-        return Known(entry.run, self._now_s() - entry.last_report_s) if entry else None
+    def _to_known_run(self, record: RunRecord | None) -> Known | None:
+        return (
+            Known(record.run, self._now_s() - record.last_report_s) if record else None
+        )
 
-    def _get_or_admit(self, report: Report, verdict: Verdict) -> RunEntry | None:
+    def _get_or_admit(self, report: Report, verdict: Verdict) -> RunRecord | None:
         """Return the record of an accepted report; else log it, and return None."""
         if verdict is Verdict.CONTINUES:
-            return self._entries.get(report.id)
+            return self._records.get(report.id)
         if verdict is Verdict.STARTS:
             return self._admit(report)
         if verdict is not Verdict.OVERTAKEN:
-            holder = self._entries.get_address_holder(report.address, report.id)
+            holder = self._records.get_other_by_address(report.address, report.id)
             log_not_taken(report, verdict, holder, self._now_s())
         return None
 
-    def _admit(self, report: Report) -> RunEntry:
-        earlier = self._entries.get(report.id)
+    def _admit(self, report: Report) -> RunRecord:
+        earlier = self._records.get(report.id)
         if earlier is not None and not earlier.run.ended:
             self._end(earlier, "it started again")
-        holder = self._entries.get_address_holder(report.address, report.id)
+        holder = self._records.get_other_by_address(report.address, report.id)
         if holder is not None:
             self._end(holder, "another run reports from its address")
-        return self._entries.add(to_run(report))
+        return self._records.add(to_run(report))
 
-    def _refresh(self, entry: RunEntry, report: Report) -> bool:
-        run = entry.run
-        is_new = entry.last_report_s == 0.0
+    def _refresh(self, record: RunRecord, report: Report) -> bool:
+        run = record.run
+        is_new = record.last_report_s == 0.0
         draining = run.draining or report.draining
         warm_up_ms = int(report.warm_up_s * 1000)
         # A server that received no work for long may need to warm up again.
-        is_colder = warm_up_ms > run.warm_up_ms
-        changed = is_new or run.silent or draining != run.draining or is_colder
-        entry.last_report_s = self._now_s()
+        warm_up_increased = warm_up_ms > run.warm_up_ms
+        changed = is_new or run.silent or draining != run.draining or warm_up_increased
+        record.last_report_s = self._now_s()
         run.sequence = report.sequence
         run.slots = report.slots
         run.draining = draining
         run.silent = False
         run.warm_up_ms = warm_up_ms
         if changed:
-            self._mark_changed(entry)
+            self._mark_changed(record)
             log_reports(run, is_new)
         return changed
 
@@ -212,7 +212,7 @@
         """
         ended = BackendRun(id=run_id, started_ms=started_ms, ended=True)
         changed = self._apply_end(ended, "it said so")
-        if started_ms == START_NOT_TOLD and not self._entries.get(run_id).run.ended:
+        if started_ms == START_NOT_TOLD and not self._records.get(run_id).run.ended:
             raise ReportRefusedError(run_id, "end without start time is ambiguous")
         return changed
 
@@ -233,20 +233,20 @@
         """
         if run.ended:
             return self._apply_end(run, "another control instance says so")
-        stored = self._entries.get(run.id)
+        stored = self._records.get(run.id)
         if run.silent and (stored is None or run.started_ms <= stored.run.started_ms):
             # The run may still report here, unless the other instance has a later one.
             return False
         report = to_report(run)
-        entry = self._get_or_admit(report, self._judge(report))
-        if entry is None:
+        record = self._get_or_admit(report, self._check_report(report))
+        if record is None:
             return False
-        changed = self._refresh(entry, report)
-        entry.run.silent = run.silent
+        changed = self._refresh(record, report)
+        record.run.silent = run.silent
         return changed
 
     def apply_numbered_report(
-        self, number: int, sequence: int, starts: Mapping[str, int]
+        self, number: int, sequence: int, start_times: Mapping[str, int]
     ) -> bool:
         """Apply a report that another control instance sent by run number.
 
@@ -256,7 +256,7 @@
             Number of the run.
         sequence : int
             Sequence of the report.
-        starts : mapping of str to int
+        start_times : mapping of str to int
             Start times by id of the live runs that the other instance sent in full.
 
         Returns
@@ -264,52 +264,52 @@
         bool
             Whether the change has to be sent to entry instances.
         """
-        entry = self._entries.get_by_number(number)
-        if entry is None or entry.run.id not in starts:
+        record = self._records.get_by_number(number)
+        if record is None or record.run.id not in start_times:
             return False
-        started_ms, now_s = starts[entry.run.id], self._now_s()
+        started_ms, now_s = start_times[record.run.id], self._now_s()
         if (
-            not apply_numbered_report(entry, sequence, started_ms, now_s)
-            or not entry.run.silent
+            not refresh_by_number(record, sequence, started_ms, now_s)
+            or not record.run.silent
         ):
             return False
-        entry.run.silent = False
-        self._mark_changed(entry)
+        record.run.silent = False
+        self._mark_changed(record)
         return True
 
     def _apply_end(self, ended: BackendRun, reason: str) -> bool:
-        entry = self._entries.get(ended.id)
-        if entry is None or entry.run.started_ms < ended.started_ms:
-            return self._store_unknown_end(entry, ended, reason)
-        if entry.run.ended:
+        record = self._records.get(ended.id)
+        if record is None or record.run.started_ms < ended.started_ms:
+            return self._store_end_of_later_start(record, ended, reason)
+        if record.run.ended:
             return False
-        if not end_is_of(entry.run, ended.started_ms):
-            log_end_not_taken(entry.run, ended.started_ms)
+        if not end_is_of(record.run, ended.started_ms):
+            log_end_not_taken(record.run, ended.started_ms)
             return False
-        entry.run.draining |= ended.draining
-        self._end(entry, reason)
+        record.run.draining |= ended.draining
+        self._end(record, reason)
         return True
 
-    def _store_unknown_end(
-        self, earlier: RunEntry | None, ended: BackendRun, reason: str
+    def _store_end_of_later_start(
+        self, earlier: RunRecord | None, ended: BackendRun, reason: str
     ) -> bool:
         if earlier is not None and not earlier.run.ended:
             self._end(earlier, "it started again")
-        self._end(self._entries.add(ended), reason)
+        self._end(self._records.add(ended), reason)
         return True
 
-    def _end(self, entry: RunEntry, reason: str) -> None:
-        run = entry.run
+    def _end(self, record: RunRecord, reason: str) -> None:
+        run = record.run
         run.ended = True
-        entry.last_report_s = self._now_s()
-        self._entries.release_address(entry)
-        self._mark_changed(entry)
+        record.last_report_s = self._now_s()
+        self._records.release_address(record)
+        self._mark_changed(record)
         log_ended(run, reason)
 
-    def _mark_changed(self, entry: RunEntry) -> None:
+    def _mark_changed(self, record: RunRecord) -> None:
         self.index += 1
         self.changed_index = self.index
-        self._entries.mark_changed(entry, self.index)
+        self._records.mark_changed(record, self.index)
 
     def restore(self, runs: Iterable[BackendRun]) -> None:
         """Restore the runs known before a restart of this instance.
@@ -320,9 +320,9 @@
             Runs as returned by `snapshot`.
         """
         for run in runs:
-            entry = self._entries.add(run)
-            entry.last_report_s = self._now_s()
-            self._mark_changed(entry)
+            record = self._records.add(run)
+            record.last_report_s = self._now_s()
+            self._mark_changed(record)
 
     def snapshot(self) -> list[BackendRun]:
         """Return a copy of every run.
@@ -333,9 +333,9 @@
             Copies in no particular order.
         """
         runs = []
-        for entry in self._entries:
+        for record in self._records:
             run = BackendRun()
-            run.CopyFrom(entry.run)
+            run.CopyFrom(record.run)
             runs.append(run)
         return runs
 
@@ -344,28 +344,28 @@
         now_s = self._now_s()
         was_suspended = now_s - self._last_sweep_s > _SUSPENSION_THRESHOLD_S
         self._last_sweep_s = now_s
-        for entry in self._entries:
-            if was_suspended and not entry.run.ended:
+        for record in self._records:
+            if was_suspended and not record.run.ended:
                 # Reports sent while this process was suspended were lost.
-                entry.last_report_s = now_s
-            self._sweep_entry(entry, now_s)
+                record.last_report_s = now_s
+            self._sweep_entry(record, now_s)
 
-    def _sweep_entry(self, entry: RunEntry, now_s: float) -> None:
-        run = entry.run
-        age_s = now_s - entry.last_report_s
+    def _sweep_entry(self, record: RunRecord, now_s: float) -> None:
+        run = record.run
+        age_s = now_s - record.last_report_s
         if run.ended:
             if age_s > KEPT_S:
-                self._entries.remove(entry)
+                self._records.remove(record)
             return
         if run.silent or age_s <= self._silent_s:
             return
         run.silent = True
-        self._mark_changed(entry)
+        self._mark_changed(record)
         log_stopped(run, age_s)
 
     def can_send_by_number(self, run_id: str, after_index: int) -> bool:
         """Return whether a report may be sent by run number after an index."""
-        return can_send_by_number(self._entries.get(run_id), after_index)
+        return is_number_sufficient(self._records.get(run_id), after_index)
 
     def changes_after(
         self, index: int, with_reports: bool
@@ -385,8 +385,8 @@
         tuple of (int, BackendRun)
             Index of the change, and the current state of the run.
         """
-        for entry in self._entries.changed_after(index, with_reports):
-            yield last_index(entry, with_reports), entry.run
+        for record in self._records.list_changed_after(index, with_reports):
+            yield last_index(record, with_reports), record.run
 
     def dump(self) -> list[dict[str, object]]:
         """Return the runs for a state dump.
@@ -397,4 +397,4 @@
             JSON-compatible fields.
         """
         now_s = self._now_s()
-        return [describe(entry, now_s) for entry in self._entries]
+        return [describe(record, now_s) for record in self._records]
--- a/src/agatethread/registry/_selection.py
+++ b/src/agatethread/registry/_selection.py
@@ -23,7 +23,7 @@
 
 
 def choose_followed(
-    live: Sequence[ControlLink],
+    reachable: Sequence[ControlLink],
     failure_domain: str,
     others_count: int = FOLLOWED_COUNT - 1,
 ) -> list[ControlLink]:
@@ -31,7 +31,7 @@
 
     Parameters
     ----------
-    live : sequence of ControlLink
+    reachable : sequence of ControlLink
         Control instances that sent a message within the lease.
     failure_domain : str
         Failure domain of the entry instance.
@@ -50,7 +50,7 @@
         is_other_domain = link.failure_domain != failure_domain
         return (is_other_domain, not link.complete, link.address)
 
-    ranked = sorted(live, key=sort_key)
+    ranked = sorted(reachable, key=sort_key)
     first = ranked[:1]
     first_domains = {link.failure_domain for link in first}
     others = [link for link in ranked[1:] if link.failure_domain not in first_domains]
@@ -115,7 +115,7 @@
 
 
 def is_cut_off(
-    links: Iterable[ControlLink], live: Sequence[ControlLink], failure_domain: str
+    links: Iterable[ControlLink], reachable: Sequence[ControlLink], failure_domain: str
 ) -> bool:
     """Return whether the own failure domain is cut off from all others.
 
@@ -126,7 +126,7 @@
     ----------
     links : iterable of ControlLink
         All known control instances.
-    live : sequence of ControlLink
+    reachable : sequence of ControlLink
         Control instances that sent a message within the lease.
     failure_domain : str
         Failure domain of this instance.
@@ -142,8 +142,9 @@
     own_domain = [link for link in all_links if link.failure_domain == failure_domain]
     if len(all_links) <= 2 * len(own_domain):
         return False
-    return bool(live) and all(
-        link.failure_domain == failure_domain and not link.hears_leader for link in live
+    return bool(reachable) and all(
+        link.failure_domain == failure_domain and not link.hears_leader
+        for link in reachable
     )
 
 
@@ -177,13 +178,13 @@
 
 
 def most_complete_rank(
-    live: Iterable[ControlLink], failure_domain: str = ""
+    reachable: Iterable[ControlLink], failure_domain: str = ""
 ) -> EntryRank:
     """Return the rank of an entry instance among all entry instances.
 
     Parameters
     ----------
-    live : iterable of ControlLink
+    reachable : iterable of ControlLink
         Control instances that sent a message within the lease.
     failure_domain : str, optional
         Failure domain of the entry instance.
@@ -195,7 +196,7 @@
         equals one of the own failure domain. `UNKNOWN_RANK` if there is none.
     """
     best = max(
-        live,
+        reachable,
         key=lambda link: (link.rank.count, link.failure_domain == failure_domain),
         default=None,
     )
@@ -222,8 +223,11 @@
     return has_runs or has_routes
 
 
-def needs_full_poll(
-    link: ControlLink, live: Iterable[ControlLink], now_s: float, routes_version: int
+def should_poll(
+    link: ControlLink,
+    reachable: Iterable[ControlLink],
+    now_s: float,
+    routes_version: int,
 ) -> bool:
     """Return whether to poll a control instance that answered a probe or greeted.
 
@@ -231,7 +235,7 @@
     ----------
     link : ControlLink
         Control instance that answered a probe or sent a greeting.
-    live : iterable of ControlLink
+    reachable : iterable of ControlLink
         Control instances that sent a message within the lease.
     now_s : float
         Current time.
@@ -246,7 +250,7 @@
     oldest_s = now_s - _POLL_REPLY_TIMEOUT_S
     sources = [
         other
-        for other in live
+        for other in reachable
         if other.complete
         or other.polled_s > oldest_s
         or (other.seen_index > 0 and not other.is_unfollowed)
--- a/src/agatethread/registry/_send_rounds.py
+++ b/src/agatethread/registry/_send_rounds.py
@@ -14,7 +14,7 @@
 _MAX_RESENT_SHARE = 0.25
 
 
-def next_limit(limit_count: int, sent_count: int, resent_count: int) -> int:
+def next_message_limit(limit_count: int, sent_count: int, resent_count: int) -> int:
     """Return the message limit of a round (additive increase, halved on resends).
 
     Parameters
--- a/src/agatethread/registry/_subscribers.py
+++ b/src/agatethread/registry/_subscribers.py
@@ -6,12 +6,12 @@
 
 #: Initial resend timeout for unacknowledged run changes; above the round-trip time
 #: between failure domains.
-_RESEND_S = 0.15
+_INITIAL_RESEND_TIMEOUT_S = 0.15
 #: Limit of the resend timeout, which doubles with each resend, to limit the load from
 #: unreachable receivers, and of a sender too busy to read acknowledgements.
-_MAX_RESEND_S = 0.6
+_MAX_RESEND_TIMEOUT_S = 0.6
 #: Time before an unacknowledged routing table is resent.
-_RESEND_ROUTES_S = 0.25
+_ROUTES_RESEND_TIMEOUT_S = 0.25
 #: Minimum time between two newer routing tables to one subscriber: in a burst of
 #: changes, tables that are replaced meanwhile are not sent.
 _ROUTES_INTERVAL_S = 0.08
@@ -39,7 +39,7 @@
         "seen_index",
         "sent_index",
         "takes_numbers",
-        "unacknowledged_since_s",
+        "resend_timer_start_s",
         "without_routes",
     )
 
@@ -55,9 +55,9 @@
         self.sent_index = 0
         #: Start of the resend timeout: when the acknowledged index last advanced, or
         #: all missing changes were last sent.
-        self.unacknowledged_since_s = 0.0
+        self.resend_timer_start_s = 0.0
         #: Time without an acknowledgement before changes are resent.
-        self.resend_timeout_s = _RESEND_S
+        self.resend_timeout_s = _INITIAL_RESEND_TIMEOUT_S
         self.routes_version = 0
         self.routes_sent_s = 0.0
         self.routes_sent_version = 0
@@ -67,7 +67,7 @@
         self.evacuations_sent_s = 0.0
         self.evacuations_sent_version = 0
 
-    def acknowledge(self, index: int, now_s: float) -> None:
+    def store_acknowledgement(self, index: int, now_s: float) -> None:
         """Store the acknowledged index; reset the resend timeout if it advanced.
 
         Parameters
@@ -78,8 +78,8 @@
             Current time.
         """
         if index > self.seen_index:
-            self.unacknowledged_since_s = now_s
-            self.resend_timeout_s = _RESEND_S
+            self.resend_timer_start_s = now_s
+            self.resend_timeout_s = _INITIAL_RESEND_TIMEOUT_S
         # Less than before if the subscriber has restarted.
         self.seen_index = index
 
@@ -96,11 +96,11 @@
         int
             Last index sent, or acknowledged if the resend timeout has passed.
         """
-        if now_s - self.unacknowledged_since_s < self.resend_timeout_s:
+        if now_s - self.resend_timer_start_s < self.resend_timeout_s:
             return max(self.seen_index, self.sent_index)
         return self.seen_index
 
-    def delta_key(self, now_s: float) -> tuple[int, bool, bool]:
+    def delta_arguments(self, now_s: float) -> tuple[int, bool, bool]:
         """Return the arguments of `DeltaWriter.make_messages_after` for it.
 
         Subscribers with equal arguments receive the same messages.
@@ -118,7 +118,7 @@
         """
         return self.next_after_index(now_s), self.is_control, self.takes_numbers
 
-    def try_start_routes(self, version: int, now_s: float) -> bool:
+    def mark_routes_sent_if_due(self, version: int, now_s: float) -> bool:
         """Mark a routing table as sent, if it is to be sent now.
 
         Parameters
@@ -136,7 +136,7 @@
         if self.routes_version >= version:
             return False
         is_new = version > self.routes_sent_version
-        pause_s = _ROUTES_INTERVAL_S if is_new else _RESEND_ROUTES_S
+        pause_s = _ROUTES_INTERVAL_S if is_new else _ROUTES_RESEND_TIMEOUT_S
         if now_s - self.routes_sent_s < pause_s:
             return False
         self.routes_sent_s = now_s
@@ -166,9 +166,11 @@
         if after_index <= self.seen_index:
             # Restarts the timeout only when all missing changes are sent. Later changes
             # don't extend it, else frequent changes would postpone a resend forever.
-            self.unacknowledged_since_s = now_s
+            self.resend_timer_start_s = now_s
             if is_resend:
-                self.resend_timeout_s = min(2 * self.resend_timeout_s, _MAX_RESEND_S)
+                self.resend_timeout_s = min(
+                    2 * self.resend_timeout_s, _MAX_RESEND_TIMEOUT_S
+                )
         self.sent_index = through_index
         return is_resend
 
--- a/src/agatethread/registry/_subscription.py
+++ b/src/agatethread/registry/_subscription.py
@@ -11,18 +11,18 @@
 from agatethread.registry._control_link import ControlLink
 from agatethread.registry._evacuations import EvacuationPublisher, KnownEvacuations
 from agatethread.registry._own_domain import (
-    OwnDomainChoice,
-    add_own_domain,
-    count_other_instances,
+    OwnDomainSelector,
+    add_own_domain_controls,
+    choose_other_count,
 )
 from agatethread.registry._presence import DomainView, merge_counts
-from agatethread.registry._probing import Prober
+from agatethread.registry._probing import ControlProber
 from agatethread.registry._report import START_NOT_TOLD
 from agatethread.registry._selection import (
     choose_followed,
     choose_routes_source,
     follows_enough,
-    needs_full_poll,
+    should_poll,
 )
 from agatethread.wire.registry_pb2 import (
     PRESENCE_UNKNOWN,
@@ -47,7 +47,7 @@
 Send = Callable[[RegistryMessage, bytes], None]
 
 
-def _ignore_report(number: int, sequence: int, starts: Mapping[str, int]) -> None:
+def _ignore_report(number: int, sequence: int, start_times: Mapping[str, int]) -> None:
     """Default of `Subscription.on_numbered_report`, for entry instances."""
 
 
@@ -113,9 +113,9 @@
             _ignore_report
         )
         self.links: dict[bytes, ControlLink] = {}
-        self._own_domain_choice = OwnDomainChoice(failure_domain, now_s)
+        self._own_domain_selector = OwnDomainSelector(failure_domain, now_s)
         self._followed: list[ControlLink] = []
-        self._prober = Prober(
+        self._prober = ControlProber(
             failure_domain, is_control, self.links.values, self._send_probe, now_s
         )
         for seed in seeds:
@@ -147,7 +147,7 @@
             Control instances in no particular order.
         """
         oldest_s = self._now_s() - _CONTROL_LEASE_S
-        return [link for link in self.links.values() if link.last_reply_s > oldest_s]
+        return [link for link in self.links.values() if link.last_message_s > oldest_s]
 
     def probe_if_unreachable(self) -> None:
         """Send probes if no control instance sent a message in the last second."""
@@ -164,14 +164,14 @@
             return
         own_domain = self._choose_own_domain()
         if own_domain:
-            self._unfollow_others(own_domain)
+            self._unsubscribe_from_others(own_domain)
             self._poll_followed(own_domain)
             self._prober.probe_other_domains(own_domain)
             return
-        live, domain = self.reachable_links(), self._failure_domain
-        others_count = count_other_instances(self.links.values(), live, domain)
-        followed = choose_followed(live, domain, others_count)
-        polled = add_own_domain(followed, live, domain)
+        reachable, domain = self.reachable_links(), self._failure_domain
+        others_count = choose_other_count(self.links.values(), reachable, domain)
+        followed = choose_followed(reachable, domain, others_count)
+        polled = add_own_domain_controls(followed, reachable, domain)
         self._poll_followed(polled)
         if not follows_enough(followed, 1 + others_count):
             self._prober.probe_unfollowed(polled)
@@ -183,7 +183,7 @@
         domain = self._failure_domain
         if all(link.failure_domain == domain for link in self.links.values()):
             return []
-        return self._own_domain_choice.choose(self.reachable_links())
+        return self._own_domain_selector.choose(self.reachable_links())
 
     def _poll_followed(self, followed: list[ControlLink]) -> None:
         self._followed = followed
@@ -191,7 +191,7 @@
         for link in followed:
             self._send_poll(link, wants_reply=True)
 
-    def _unfollow_others(self, followed: list[ControlLink]) -> None:
+    def _unsubscribe_from_others(self, followed: list[ControlLink]) -> None:
         for link in self.links.values():
             was_polled = link.seen_index > 0 or link.polled_s > float("-inf")
             if was_polled and not link.is_unfollowed and link not in followed:
@@ -202,13 +202,13 @@
         for link in self.links.values():
             # Without a pending request, `unanswered_since_s` is infinite.
             unanswered_for_s = self._now_s() - link.unanswered_since_s
-            if link.is_reachable and unanswered_for_s > _CONTROL_LEASE_S:
-                link.is_reachable = False
+            if link.is_logged_reachable and unanswered_for_s > _CONTROL_LEASE_S:
+                link.is_logged_reachable = False
                 log.info(
                     Event.CONTROL_OUT_OF_SIGHT,
                     address=link.address.hex(),
                     failure_domain=link.failure_domain,
-                    silent_s=round(self._now_s() - link.last_reply_s, 3),
+                    silent_s=round(self._now_s() - link.last_message_s, 3),
                 )
 
     def _send_probe(self, link: ControlLink) -> None:
@@ -292,7 +292,7 @@
         for run in delta.runs:
             self._receive_run(link, run)
         for number, sequence in zip(delta.reporting, delta.sequences, strict=False):
-            self.on_numbered_report(number, sequence, link.reporting)
+            self.on_numbered_report(number, sequence, link.live_starts)
         if link.advance(delta):
             self._acknowledge(link)
         if delta.complete and not link.is_unfollowed:
@@ -301,14 +301,14 @@
     def _on_greeting(self, link: ControlLink) -> None:
         """Poll a control instance, unless polled ones already send the same state."""
         now_s = self._now_s()
-        if needs_full_poll(link, self.reachable_links(), now_s, self.routes_version):
+        if should_poll(link, self.reachable_links(), now_s, self.routes_version):
             self._send_poll(link, wants_reply=True)
 
     def _receive_run(self, link: ControlLink, run: BackendRun) -> None:
         if run.ended or run.silent:
-            link.reporting.pop(run.id, None)
+            link.live_starts.pop(run.id, None)
         else:
-            link.reporting[run.id] = run.started_ms
+            link.live_starts[run.id] = run.started_ms
         self._on_run(run)
 
     def on_chunk(self, chunk: RoutesChunk, source: bytes) -> None:
@@ -395,9 +395,9 @@
         bool
             True also if no reachable control instance has sent its full state.
         """
-        with_full_state = [
+        synchronized = [
             link for link in self.reachable_links() if link.settled and link.complete
         ]
-        if not with_full_state:
+        if not synchronized:
             return True
-        return any(link.reporting.get(run_id) == started_ms for link in with_full_state)
+        return any(link.live_starts.get(run_id) == started_ms for link in synchronized)
--- a/tests/registry/test_busy_control.py
+++ b/tests/registry/test_busy_control.py
@@ -25,15 +25,15 @@
 
     def __init__(self, run_count, entry_count, processor_share):
         self.clock = Clock()
-        self.share = processor_share
-        self.debt_s = self.next_flush_s = 0.0
-        self.inbox, self.wire, self.sent_bytes, self.sent_count = [], [], 0, 0
+        self.processor_share = processor_share
+        self.backlog_s = self.next_flush_s = 0.0
+        self.inbox, self.in_transit, self.sent_bytes, self.sent_count = [], [], 0, 0
         self.address = address(1)
         self.runs = RunTable(INTERVAL_S, self.clock)
         for number in range(1, run_count + 1):
             self.runs.report(report(number, place=number))
         self.reports_per_step = run_count / 3 / INTERVAL_S * STEP_S
-        self.hub = RegistryPublisher(
+        self.publisher = RegistryPublisher(
             self.runs, "a", self.send, self.clock, lambda: True, lambda: True
         )
         self.entries = {}
@@ -53,11 +53,11 @@
 
     def send(self, message, target):
         data = message.SerializeToString()
-        self.debt_s += SEND_S
+        self.backlog_s += SEND_S
         self.sent_bytes += len(data)
         self.sent_count += 1
         delivery = (self.clock.value_s + 0.001, self.sent_count, data, target)
-        heapq.heappush(self.wire, delivery)
+        heapq.heappush(self.in_transit, delivery)
 
     def advance(self, duration_s):
         for step in range(round(duration_s / STEP_S)):
@@ -67,23 +67,23 @@
                     entry.poll()
             self.deliver()
             spent_s = self.reports_per_step * REPORT_S
-            idle_s = STEP_S * self.share
-            self.debt_s = max(-idle_s, self.debt_s + spent_s - idle_s)
+            idle_s = STEP_S * self.processor_share
+            self.backlog_s = max(-idle_s, self.backlog_s + spent_s - idle_s)
             self.process()
 
     def deliver(self):
-        while self.wire and self.wire[0][0] <= self.clock.value_s:
-            _, _, data, target = heapq.heappop(self.wire)
+        while self.in_transit and self.in_transit[0][0] <= self.clock.value_s:
+            _, _, data, target = heapq.heappop(self.in_transit)
             self.entries[target].on_delta(decode_message(data).delta, self.address)
 
     def process(self):
-        if self.clock.value_s >= self.next_flush_s and self.debt_s < 0:
-            self.hub.flush()
+        if self.clock.value_s >= self.next_flush_s and self.backlog_s < 0:
+            self.publisher.flush()
             self.next_flush_s = self.clock.value_s + 0.1
-        while self.inbox and self.debt_s < 0:
+        while self.inbox and self.backlog_s < 0:
             message, source = self.inbox.pop(0)
-            self.debt_s += READ_S
-            self.hub.on_poll(message.poll, source)
+            self.backlog_s += READ_S
+            self.publisher.on_poll(message.poll, source)
 
     def complete_count(self):
         return sum(entry.is_complete() for entry in self.entries.values())
--- a/tests/registry/test_cut_off.py
+++ b/tests/registry/test_cut_off.py
@@ -15,44 +15,44 @@
     def setUp(self):
         self.links = [link(number, domain) for number, domain in enumerate("aabbcc")]
 
-    def judge(self, live, links=None):
+    def is_cut_off(self, live, links=None):
         return is_cut_off(links or self.links, live, "a")
 
     def test_cut_off_if_only_own_domain_is_reachable(self):
         """Two of six control instances are reachable, and neither hears a leader."""
-        self.assertTrue(self.judge(self.links[:2]))
+        self.assertTrue(self.is_cut_off(self.links[:2]))
 
     def test_not_cut_off_if_no_control_instance_is_reachable(self):
         """Other domains may be reachable although all control instances are lost."""
-        self.assertFalse(self.judge([]))
+        self.assertFalse(self.is_cut_off([]))
 
     def test_not_cut_off_if_another_domain_is_reachable(self):
         """The other domain can still send evacuations."""
-        self.assertFalse(self.judge(self.links[:3]))
+        self.assertFalse(self.is_cut_off(self.links[:3]))
 
     def test_not_cut_off_if_own_domain_hears_a_leader(self):
         """A leader has the votes of a majority."""
-        self.assertFalse(self.judge([link(0, "a", hears_leader=True)]))
+        self.assertFalse(self.is_cut_off([link(0, "a", hears_leader=True)]))
 
     def test_not_cut_off_if_own_domain_holds_a_majority(self):
         """The own domain can elect a leader by itself."""
         links = [link(number, domain) for number, domain in enumerate("aaab")]
-        self.assertFalse(self.judge(links[:3], links))
+        self.assertFalse(self.is_cut_off(links[:3], links))
 
     def test_partition_is_detected_within_the_control_lease(self):
         """The start and the end of a partition are each detected within a lease."""
         world = World(("a", "b", "c"))
         world.leaderless = {address(0)}
         world.step(8)
-        self.assertFalse(self.judge_world(world))
+        self.assertFalse(self.is_entry_cut_off(world))
         world.cut = {address(1), address(2)}
         world.step(16)
-        self.assertTrue(self.judge_world(world))
+        self.assertTrue(self.is_entry_cut_off(world))
         world.cut = set()
         world.step(8)
-        self.assertFalse(self.judge_world(world))
+        self.assertFalse(self.is_entry_cut_off(world))
 
-    def judge_world(self, world):
+    def is_entry_cut_off(self, world):
         return is_cut_off(
             world.entry.links.values(), world.entry.reachable_links(), "a"
         )
--- a/tests/registry/test_evacuations.py
+++ b/tests/registry/test_evacuations.py
@@ -64,9 +64,9 @@
         world = World(("a",))
         world.evacuate(7, "b")
         offer = compressed_table(9)
-        offer.evacuations.CopyFrom(world.publishers[address(0)].newest)
-        world.hub(0).greet([KnownEntry(world.entry_address, "a")])
-        world.hub(0).offer_routes(offer)
+        offer.evacuations.CopyFrom(world.evacuation_publishers[address(0)].newest)
+        world.publisher(0).greet([KnownEntry(world.entry_address, "a")])
+        world.publisher(0).publish_routes(offer)
         world.deliver()
         self.assertEqual(world.entry.routes_version, 9)
         self.assertEqual(world.evacuated, [{"b"}])
@@ -78,7 +78,7 @@
         world.evacuate(7, "b")
         world.step(5)
         before_bytes = world.sent_bytes
-        for publisher in world.publishers.values():
+        for publisher in world.evacuation_publishers.values():
             publisher.publish()
         self.assertEqual(world.sent_bytes, before_bytes)
 
@@ -88,7 +88,7 @@
         """The operator's reply waits for the entry instances, up to the timeout."""
         world = World(("a",))
         world.step(5)
-        publisher = world.publishers[address(0)]
+        publisher = world.evacuation_publishers[address(0)]
         world.cut = {world.entry_address}
         world.evacuate(7, "b")
         self.assertFalse(await publisher.wait_until_known(7, 0.01))
@@ -100,8 +100,8 @@
         """It includes an entry instance that only its own domain's control serves."""
         world = World(("a", "a", "b", "b"))
         world.step(30)
-        publisher = world.publishers[address(2)]
-        self.assertEqual(len(list(world.hub(2).reachable_entries())), 0)
+        publisher = world.evacuation_publishers[address(2)]
+        self.assertEqual(len(list(world.publisher(2).active_entries())), 0)
         home = address(0), address(1)
         world.cut_pairs = {frozenset((world.entry_address, place)) for place in home}
         world.evacuate(7, "b")
@@ -115,7 +115,9 @@
         """Without entry instances the request is answered at once."""
         world = World(("a",))
         world.evacuate(7, "b")
-        is_known = await world.publishers[address(0)].wait_until_known(7, 0.01)
+        is_known = await world.evacuation_publishers[address(0)].wait_until_known(
+            7, 0.01
+        )
         self.assertTrue(is_known)
 
 
@@ -165,7 +167,8 @@
     def is_not_newer_than_published(self):
         """The version in force at the entry instance is a published one."""
         versions = [
-            publisher.newest.version for publisher in self.world.publishers.values()
+            publisher.newest.version
+            for publisher in self.world.evacuation_publishers.values()
         ]
         assert self.world.entry._evacuations.version <= max(versions)
 
--- a/tests/registry/test_many_subscribers.py
+++ b/tests/registry/test_many_subscribers.py
@@ -6,7 +6,7 @@
     RegistryPublisher,
     RunTable,
 )
-from agatethread.registry._entries import last_index
+from agatethread.registry._run_index import last_index
 from agatethread.wire.registry_pb2 import Poll
 from tests.fakes import Clock, address
 from tests.registry.test_runs import INTERVAL_S, report
@@ -21,7 +21,7 @@
         self.table = RunTable(INTERVAL_S, self.clock)
         for number in range(1, 3_001):
             self.table.report(report(number, place=number))
-        self.hub = RegistryPublisher(
+        self.publisher = RegistryPublisher(
             self.table,
             "a",
             lambda message, target: self.sent.append((message, target)),
@@ -35,12 +35,12 @@
     def poll_all(self):
         """Let every entry instance acknowledge all changes."""
         poll = Poll(
-            hub_incarnation=self.hub._incarnation,
+            hub_incarnation=self.publisher._incarnation,
             seen_index=self.table.changed_index,
             failure_domain="a",
         )
         for entry in self.entries:
-            self.hub.on_poll(poll, entry)
+            self.publisher.on_poll(poll, entry)
         self.sent.clear()
 
     def test_sending_one_change_scans_few_runs(self):
@@ -48,9 +48,9 @@
         self.clock.value_s += 0.2
         self.table.report(report(1, sequence=2, draining=True))
         with mock.patch(
-            "agatethread.registry._entries.last_index", side_effect=last_index
+            "agatethread.registry._run_index.last_index", side_effect=last_index
         ) as scan:
-            self.hub.flush()
+            self.publisher.flush()
         self.assertEqual(len(self.sent), 297)
         self.assertLess(scan.call_count, 10)
 
@@ -59,10 +59,10 @@
         self.clock.value_s += 0.2
         for number in range(1, 101):
             self.table.report(report(number, 2, number, draining=True))
-            self.hub.flush_soon()
+            self.publisher.flush_if_due()
         self.assertLess(len(self.sent), 2 * 297)
         self.clock.value_s += 0.1
-        self.hub.flush()
+        self.publisher.flush()
         received = {
             run.id
             for message, target in self.sent
@@ -74,24 +74,24 @@
     def test_few_subscribers_receive_changes_at_once(self):
         """With few subscribers, changes don't wait for the next round."""
         self.entries = self.entries[:7]
-        self.hub._subscribers.clear()
+        self.publisher._subscribers.clear()
         self.poll_all()
         for number in range(1, 11):
             self.clock.value_s += 0.001
             self.table.report(report(number, 2, number, draining=True))
-            self.hub.flush_soon()
+            self.publisher.flush_if_due()
             self.assertEqual(len(self.sent), 7 * number)
 
     def test_limits_a_round_and_continues_in_the_next(self):
         """Sending the full state to all leaves time to read acknowledgements."""
         for entry in self.entries:
             poll = Poll(failure_domain="a" if entry[-1] % 3 else "b")
-            self.hub.on_poll(poll, entry)
+            self.publisher.on_poll(poll, entry)
         received = {}
         for _ in range(6):
             self.sent.clear()
             self.clock.value_s += 0.1
-            self.hub.flush()
+            self.publisher.flush()
             self.assertLessEqual(len(self.sent), 600 + 8)
             for _, target in self.sent:
                 received[target] = received.get(target, 0) + 1
@@ -105,7 +105,7 @@
         for _ in range(40):
             self.clock.value_s += 0.05
             self.sent.clear()
-            self.hub.flush()
+            self.publisher.flush()
             if self.sent:
                 times.append(self.clock.value_s)
         pauses = [later - earlier for earlier, later in pairwise(times)]
@@ -119,5 +119,5 @@
         self.table.report(report(1, sequence=2, draining=True))
         for _ in range(20):
             self.clock.value_s += 0.02
-            self.hub.flush_soon()
+            self.publisher.flush_if_due()
         self.assertLessEqual(len(self.sent), 3 * 297)
--- a/tests/registry/test_numbers.py
+++ b/tests/registry/test_numbers.py
@@ -2,7 +2,7 @@
 from unittest import mock
 
 from agatethread.registry import RunTable
-from agatethread.registry._entries import can_send_by_number
+from agatethread.registry._run_index import is_number_sufficient
 from tests.fakes import Clock, address
 from tests.registry.test_runs import INTERVAL_S, report
 from tests.registry.worlds import World
@@ -11,7 +11,7 @@
 START = {"started_ms": 1_000}
 
 
-class TestNumbers(unittest.TestCase):
+class TestNumberedReports(unittest.TestCase):
     """Unchanged reports sent between control instances by run number."""
 
     def setUp(self):
@@ -66,20 +66,20 @@
         self.report(2, at=1, started_ms=2_000)
         self.report(50)
         starts = {"i-1": 1_000}
-        heard_s = self.world.table(1)._entries.get("i-1").last_report_s
+        last_report_s = self.world.table(1)._records.get("i-1").last_report_s
         self.world.clock.value_s += 1.0
         self.assertFalse(self.world.table(1).apply_numbered_report(1, 50, starts))
-        entry = self.world.table(1)._entries.get("i-1")
-        self.assertEqual((entry.last_report_s, entry.run.sequence), (heard_s, 2))
+        entry = self.world.table(1)._records.get("i-1")
+        self.assertEqual((entry.last_report_s, entry.run.sequence), (last_report_s, 2))
 
     def test_ignores_numbered_report_with_older_sequence(self):
         """A duplicate report does not refresh the run."""
         self.report(9)
-        entry = self.world.table(1)._entries.get("i-1")
-        heard_s = entry.last_report_s
+        entry = self.world.table(1)._records.get("i-1")
+        last_report_s = entry.last_report_s
         self.world.clock.value_s += 1.0
         self.world.table(1).apply_numbered_report(1, 9, {"i-1": 1_000})
-        self.assertEqual(entry.last_report_s, heard_s)
+        self.assertEqual(entry.last_report_s, last_report_s)
 
     def test_sends_changed_details_in_full(self):
         """Changes of slots and warm-up time reach other control instances."""
@@ -93,23 +93,23 @@
         """A receiver that had to reject a run can accept it later."""
         table = RunTable(INTERVAL_S, Clock())
         table.report(report(sequence=1, **START))
-        entry = table._entries.get("i-1")
+        entry = table._records.get("i-1")
         full = []
         for sequence in range(2, 26):
             after = table.index
             table.report(report(sequence=sequence, **START))
-            if not can_send_by_number(entry, after):
+            if not is_number_sufficient(entry, after):
                 full.append(sequence)
         self.assertEqual(full, [8, 16, 24])
 
     def test_sends_full_report_to_receiver_without_number_support(self):
         """A control instance of an earlier version receives full reports."""
         self.report(1)
-        subscriber = self.world.hub(0)._subscribers[address(1)]
+        subscriber = self.world.publisher(0)._subscribers[address(1)]
         after = subscriber.seen_index
         self.world.table(0).report(report(sequence=2, **START))
         for by_number in (False, True):
-            (message,) = self.world.hub(0)._deltas.make_messages_after(
+            (message,) = self.world.publisher(0)._deltas.make_messages_after(
                 after, True, by_number
             )
             self.assertEqual(len(message.delta.runs), not by_number)
--- a/tests/registry/test_own_domain.py
+++ b/tests/registry/test_own_domain.py
@@ -15,7 +15,7 @@
 from tests.registry.test_runs import report
 from tests.registry.worlds import World, compressed_table
 
-PAIRS = ("a", "a", "b", "b", "c", "c")
+PAIRED_DOMAINS = ("a", "a", "b", "b", "c", "c")
 OWN_DOMAIN = {address(0), address(1)}
 OTHER_DOMAINS = {address(number) for number in range(2, 6)}
 
@@ -30,12 +30,14 @@
     return {link.address for link in world.entry._followed}
 
 
-def subscribed_hubs(world):
+def subscribed_controls(world):
     """Return the control instances that send changes to the entry instance."""
     return {
         place
-        for place, (_, hub) in world.hubs.items()
-        if any(target == world.entry_address for target, _ in hub.reachable_entries())
+        for place, (_, publisher) in world.controls.items()
+        if any(
+            target == world.entry_address for target, _ in publisher.active_entries()
+        )
     }
 
 
@@ -43,7 +45,7 @@
     """An entry instance, and two control instances in each of three domains."""
 
     def setUp(self):
-        self.world = World(PAIRS)
+        self.world = World(PAIRED_DOMAINS)
         self.world.step(30)
 
     def test_follows_only_own_domain_of_two(self):
@@ -51,12 +53,12 @@
         self.world.table(4).report(report())
         self.world.step(5)
         self.assertEqual(followed(self.world), OWN_DOMAIN)
-        self.assertEqual(subscribed_hubs(self.world), OWN_DOMAIN)
+        self.assertEqual(subscribed_controls(self.world), OWN_DOMAIN)
         self.assertIn("i-1", self.world.received_runs())
 
     def test_only_own_domain_sends_state_at_start(self):
         """Other domains don't send the same state again."""
-        world = World(PAIRS)
+        world = World(PAIRED_DOMAINS)
         world.cut = {world.entry_address}
         for number in range(1, 60):
             world.table(number % 6).report(report(number, place=number))
@@ -79,7 +81,7 @@
         self.world.cut = set()
         self.world.step(60)
         self.assertEqual(followed(self.world), OWN_DOMAIN)
-        self.assertEqual(subscribed_hubs(self.world), OWN_DOMAIN)
+        self.assertEqual(subscribed_controls(self.world), OWN_DOMAIN)
 
     def test_other_domains_replace_a_lost_own_domain(self):
         """No change is missed when both control instances of the own domain fail."""
@@ -113,25 +115,25 @@
         """Other domains can greet the entry instance after a power loss."""
         self.world.step(40)
         for number in range(6):
-            (known,) = self.world.hub(number).known_entries()
+            (known,) = self.world.publisher(number).known_entries()
             self.assertEqual((known.address, known.failure_domain), (address(99), "a"))
         self.world.cut = {self.world.entry_address}
         self.world.step(120)
-        self.assertEqual(self.world.hub(4).known_entries(), ())
+        self.assertEqual(self.world.publisher(4).known_entries(), ())
 
     def test_receives_first_table_from_another_domain(self):
         """Another domain sends the table while the own domain has none."""
-        world = World(PAIRS)
+        world = World(PAIRED_DOMAINS)
         world.cut = {world.entry_address}
         world.step(20)
         for number in range(2, 6):
-            world.hub(number).offer_routes(compressed_table(9))
+            world.publisher(number).publish_routes(compressed_table(9))
         world.cut = OTHER_DOMAINS
         world.step(1)
         world.cut = set()
         self.assertTrue(world.entry.is_complete())
         for number in range(2, 6):
-            world.hub(number).greet(known_entries())
+            world.publisher(number).greet(known_entries())
         world.deliver()
         self.assertEqual(world.entry.routes_version, 9)
 
@@ -142,7 +144,7 @@
         (lost,) = followed(self.world) & OTHER_DOMAINS
         self.world.cut = {lost}
         for place in OTHER_DOMAINS - {lost}:
-            self.world.hubs[place][1].offer_routes(compressed_table(9))
+            self.world.controls[place][1].publish_routes(compressed_table(9))
         self.world.step(20)
         self.assertEqual(self.world.entry.routes_version, 9)
 
@@ -151,7 +153,7 @@
         self.world.leaderless = set(OWN_DOMAIN)
         self.world.step(5)
         for number in range(2, 6):
-            self.world.hub(number).offer_routes(compressed_table(9))
+            self.world.publisher(number).publish_routes(compressed_table(9))
         self.world.step(8)
         self.assertEqual(self.world.entry.routes_version, 9)
         self.assertEqual(len(followed(self.world) & OTHER_DOMAINS), 1)
@@ -189,12 +191,12 @@
         """The subscriber is deleted although changes continue."""
         self.world.cut = {address(0)}
         self.world.step(20)
-        self.assertTrue(subscribed_hubs(self.world) & OTHER_DOMAINS)
+        self.assertTrue(subscribed_controls(self.world) & OTHER_DOMAINS)
         self.world.cut = set()
         for number in range(1, 60):
             self.world.table(3).report(report(number, place=number))
             self.world.step()
-        self.assertEqual(subscribed_hubs(self.world), OWN_DOMAIN)
+        self.assertEqual(subscribed_controls(self.world), OWN_DOMAIN)
 
     def test_drain_survives_loss_of_receiving_instance(self):
         """The receiving instance of another domain fails after acknowledging."""
@@ -203,7 +205,7 @@
 
         async def drain():
             self.world.table(3).report(report(sequence=2, draining=True))
-            waiting = asyncio.ensure_future(self.world.hub(3).flush_and_wait(1.0))
+            waiting = asyncio.ensure_future(self.world.publisher(3).flush_and_wait(1.0))
             await asyncio.sleep(0)
             self.world.deliver()
             return await waiting
@@ -216,7 +218,7 @@
     def test_cut_off_requires_several_unanswered_requests(self):
         """A partition counts, not the loss of the one instance that was probed."""
         for step_count in range(40, 60):
-            self.world = World(PAIRS)
+            self.world = World(PAIRED_DOMAINS)
             self.world.step(step_count)
             watched = max(
                 (self.world.entry.links[place] for place in OTHER_DOMAINS),
@@ -288,12 +290,12 @@
 
     def test_control_instances_exchange_entry_counts(self):
         """The count includes entry instances that only other domains reach."""
-        world = World(PAIRS)
+        world = World(PAIRED_DOMAINS)
         world.step(30)
         for number in (2, 3):
             for index in range(5):
-                world.hub(number)._subscribers[address(200 + index)] = make_subscriber(
-                    world
+                world.publisher(number)._subscribers[address(200 + index)] = (
+                    make_subscriber(world)
                 )
         world.step(8)
         self.assertEqual(world.entry.links[address(0)].rank.count, 6)
@@ -312,7 +314,7 @@
 
     @initialize(seed=st.integers(0, 1_000))
     def begin(self, seed):
-        self.world = World(PAIRS, seed)
+        self.world = World(PAIRED_DOMAINS, seed)
         self.sequences = {}
         self.drained = set()
         self.world.step(30)
--- a/tests/registry/test_restarts.py
+++ b/tests/registry/test_restarts.py
@@ -8,7 +8,7 @@
 
 from agatethread.exceptions import ReportRefusedError
 from agatethread.registry import RunTable, load_hints, save_hints
-from agatethread.registry._entries import RunIndex
+from agatethread.registry._run_index import RunIndex
 from agatethread.wire.registry_pb2 import BackendRun
 from tests.fakes import Clock
 from tests.registry.test_runs import INTERVAL_S, report
@@ -113,7 +113,7 @@
         self.assertEqual(self.run_state(), (2_000, 1, False, False))
 
 
-class TestOtherWriters(unittest.TestCase):
+class TestContradictingReports(unittest.TestCase):
     """Well-formed reports of unknown senders."""
 
     def setUp(self):
--- a/tests/registry/test_runs.py
+++ b/tests/registry/test_runs.py
@@ -14,7 +14,7 @@
     load_hints,
     save_hints,
 )
-from agatethread.registry._entries import last_index
+from agatethread.registry._run_index import last_index
 from tests.fakes import Clock, address
 
 INTERVAL_S = 1.2
@@ -212,7 +212,7 @@
     @invariant()
     def changes_equal_those_of_a_full_scan(self):
         for table in self.tables:
-            entries = list(table._entries)
+            entries = list(table._records)
             for with_reports in (False, True):
                 last = {
                     entry.run.id: last_index(entry, with_reports) for entry in entries
--- a/tests/registry/test_rounds.py
+++ b/tests/registry/test_send_rounds.py
@@ -3,7 +3,7 @@
 from agatethread.registry._control_link import ControlLink
 from agatethread.registry._send_rounds import (
     MAX_ROUND_MESSAGES,
-    next_limit,
+    next_message_limit,
     order_round,
 )
 from agatethread.registry._subscribers import Subscriber
@@ -16,7 +16,7 @@
         """The limit halves down to the minimum."""
         limit, limits = MAX_ROUND_MESSAGES, []
         for _ in range(6):
-            limit = next_limit(limit, sent_count=100, resent_count=40)
+            limit = next_message_limit(limit, sent_count=100, resent_count=40)
             limits.append(limit)
         self.assertEqual(limits, [300, 150, 75, 50, 50, 50])
 
@@ -24,13 +24,17 @@
         """The limit returns to the maximum once acknowledgements arrive."""
         limit = 50
         for _ in range(12):
-            limit = next_limit(limit, sent_count=100, resent_count=0)
+            limit = next_message_limit(limit, sent_count=100, resent_count=0)
         self.assertEqual(limit, MAX_ROUND_MESSAGES)
 
     def test_packet_loss_does_not_lower_the_limit(self):
         """A lossy link does not slow the other subscribers."""
-        self.assertEqual(next_limit(MAX_ROUND_MESSAGES, 100, 3), MAX_ROUND_MESSAGES)
-        self.assertEqual(next_limit(MAX_ROUND_MESSAGES, 0, 0), MAX_ROUND_MESSAGES)
+        self.assertEqual(
+            next_message_limit(MAX_ROUND_MESSAGES, 100, 3), MAX_ROUND_MESSAGES
+        )
+        self.assertEqual(
+            next_message_limit(MAX_ROUND_MESSAGES, 0, 0), MAX_ROUND_MESSAGES
+        )
 
 
 class TestOrderRound(unittest.TestCase):
--- a/tests/registry/test_spreading.py
+++ b/tests/registry/test_spreading.py
@@ -51,7 +51,7 @@
 
         async def drain():
             world.table(0).report(report(sequence=2, draining=True))
-            waiting = asyncio.ensure_future(world.hub(0).flush_and_wait(1.0))
+            waiting = asyncio.ensure_future(world.publisher(0).flush_and_wait(1.0))
             await asyncio.sleep(0)
             world.deliver()
             return await waiting
@@ -61,7 +61,7 @@
         self.assertTrue(world.received_runs()["i-1"].draining)
         self.assertTrue(world.table(1).get("i-1").draining)
 
-    def test_spread_fails_with_unreachable_subscriber(self):
+    def test_flush_and_wait_fails_with_unreachable_subscriber(self):
         """The wait for an unreachable subscriber ends with the timeout."""
         world = World()
         world.step(5)
@@ -69,7 +69,7 @@
 
         async def drain():
             world.table(0).report(report(draining=True))
-            return await world.hub(0).flush_and_wait(0.05)
+            return await world.publisher(0).flush_and_wait(0.05)
 
         self.assertFalse(asyncio.run(drain()))
 
@@ -79,7 +79,7 @@
         world.step(5)
         world.table(0).report(report(number=1, place=1))
         world.step(5)
-        world.start_hub(0, "a", [address(0)])
+        world.start_control(0, "a", [address(0)])
         world.table(0).report(report(number=2, place=2))
         world.step(10)
         self.assertIn("i-2", world.received_runs())
@@ -102,7 +102,7 @@
         """No run counts as lost while no control instance is reachable."""
         world = World()
         world.step(5)
-        world.cut = set(world.hubs)
+        world.cut = set(world.controls)
         world.step(20)
         self.assertTrue(world.entry.is_reporting("i-unknown"))
 
@@ -124,9 +124,9 @@
         ]
         world.leaderless = set(followed)
         world.step(15)
-        for place, (_, hub) in world.hubs.items():
+        for place, (_, publisher) in world.controls.items():
             if place not in world.leaderless:
-                hub.offer_routes(compressed_table(9))
+                publisher.publish_routes(compressed_table(9))
         world.step(15)
         self.assertEqual(world.entry.routes_version, 9)
 
@@ -161,7 +161,7 @@
         ) as scan:
             world.entry.poll()
             world.deliver()
-            world.hub(0).flush()
+            world.publisher(0).flush()
         scan.assert_not_called()
 
     def test_idle_traffic_is_bounded(self):
--- a/tests/registry/test_starts_and_tables.py
+++ b/tests/registry/test_starts_and_tables.py
@@ -18,13 +18,13 @@
         world.step(5)
         world.table(0).report(report())
         world.step(5)
-        entries, runs = world.hub(0).known_entries(), world.table(0).snapshot()
+        entries, runs = world.publisher(0).known_entries(), world.table(0).snapshot()
         self.assertEqual(entries, (KnownEntry(world.entry_address, "a"),))
         world.runs.clear()
-        world.start_hub(0, "a", [address(0)])
+        world.start_control(0, "a", [address(0)])
         world.table(0).restore(runs)
-        world.hub(0).greet(entries)
-        world.hub(0).offer_routes(compressed_table(9))
+        world.publisher(0).greet(entries)
+        world.publisher(0).publish_routes(compressed_table(9))
         world.deliver()
         self.assertIn("i-1", world.received_runs())
         self.assertEqual(world.entry.routes_version, 9)
@@ -35,10 +35,10 @@
         world.entry.poll()
         world.deliver()
         other_entries = [KnownEntry(address(55), "a"), KnownEntry(address(56), "b")]
-        world.hub(0).greet([KnownEntry(world.entry_address, "a"), *other_entries])
+        world.publisher(0).greet([KnownEntry(world.entry_address, "a"), *other_entries])
         self.assertEqual([target for _, _, target in world.queue], [address(56)])
         world.queue.clear()
-        world.hub(0).offer_routes(compressed_table(9))
+        world.publisher(0).publish_routes(compressed_table(9))
         targets = {target for _, _, target in world.queue}
         self.assertEqual(targets, {world.entry_address, address(55)})
 
@@ -49,8 +49,8 @@
         for number in range(5):
             for run in range(1, 148):
                 world.table(number).report(report(run, place=run))
-            world.hub(number).greet([KnownEntry(world.entry_address, "a")])
-            world.hub(number).offer_routes(table)
+            world.publisher(number).greet([KnownEntry(world.entry_address, "a")])
+            world.publisher(number).publish_routes(table)
         world.entry.poll()
         world.deliver()
         self.assertEqual(
@@ -64,10 +64,10 @@
     def test_greeting_with_full_state_causes_no_poll(self):
         """The state of a second control instance can wait for the next poll."""
         world = World(("a", "b"))
-        world.leaderless = set(world.hubs)
+        world.leaderless = set(world.controls)
         for number in range(2):
             world.table(number).report(report())
-            world.hub(number).greet([KnownEntry(world.entry_address, "a")])
+            world.publisher(number).greet([KnownEntry(world.entry_address, "a")])
         world.deliver()
         self.assertIn("i-1", world.received_runs())
         polled_s = [link.polled_s for link in world.entry.links.values()]
@@ -79,7 +79,7 @@
         world.table(0).report(report())
         world.step(5)
         world.entry.poll()
-        world.hub(0).on_poll(Poll(probe=True), world.entry_address)
+        world.publisher(0).on_poll(Poll(probe=True), world.entry_address)
         world.deliver()
         self.assertTrue(world.entry.is_complete())
         self.assertTrue(world.entry.is_reporting("i-1"))
@@ -93,8 +93,8 @@
         before = world.received_bytes
         for version in range(100, 100 + count):
             offer = compressed_table(version, routes=240)
-            for number in range(len(world.hubs)):
-                world.hub(number).offer_routes(offer)
+            for number in range(len(world.controls)):
+                world.publisher(number).publish_routes(offer)
             world.step()
         world.step(2)
         self.assertEqual(world.entry.routes_version, 99 + count)
@@ -115,7 +115,7 @@
             world.cut = {address(0)} if "cut" in fault else set()
             world.leaderless = {address(0)} if "leaderless" in fault else set()
             for number in (1, 2):
-                world.hub(number).offer_routes(compressed_table(9))
+                world.publisher(number).publish_routes(compressed_table(9))
             world.step(20)
             with self.subTest(fault=fault):
                 self.assertEqual(world.entry.routes_version, 9)
@@ -124,7 +124,7 @@
         """An instance that lacks the newest table does not delay it."""
         world = World(("a", "b", "c"))
         world.step(20)
-        world.hub(2).offer_routes(compressed_table(9))
+        world.publisher(2).publish_routes(compressed_table(9))
         world.step(12)
         self.assertEqual(world.entry.routes_version, 9)
 
@@ -133,10 +133,10 @@
         world = World()
         world.loss = 0.3
         world.step(5)
-        world.hub(0).offer_routes(compressed_table(7, routes=600))
+        world.publisher(0).publish_routes(compressed_table(7, routes=600))
         world.step(60)
         self.assertEqual([table.version for table in world.tables], [7])
-        world.hub(1).offer_routes(compressed_table(6))
+        world.publisher(1).publish_routes(compressed_table(6))
         world.step(20)
         self.assertEqual([table.version for table in world.tables], [7])
 
@@ -145,6 +145,6 @@
         world = World(("a", "b", "c", "d", "e"))
         world.step(40)
         for number in (2, 3, 4):
-            world.hub(number).offer_routes(compressed_table(9))
+            world.publisher(number).publish_routes(compressed_table(9))
         world.step(10)
         self.assertEqual([table.version for table in world.tables], [9])
--- a/tests/registry/worlds.py
+++ b/tests/registry/worlds.py
@@ -40,13 +40,13 @@
         self.sent_bytes = self.received_bytes = 0
         self.queue = []
         self.runs, self.tables = [], []
-        self.hubs, self.links, self.publishers = {}, {}, {}
+        self.controls, self.subscriptions, self.evacuation_publishers = {}, {}, {}
         #: Evacuated failure domains that the entry instance received.
         self.evacuated = []
         self.entry_address = address(99)
         seeds = [address(number) for number in range(len(domains))]
         for number, domain in enumerate(domains):
-            self.start_hub(number, domain, seeds)
+            self.start_control(number, domain, seeds)
         self.entry = Subscription(
             "a",
             False,
@@ -60,11 +60,11 @@
             KnownEvacuations(self.evacuated.append),
         )
 
-    def start_hub(self, number, domain, seeds):
+    def start_control(self, number, domain, seeds):
         """Start a control instance without state."""
         place = address(number)
         table = RunTable(INTERVAL_S, self.clock)
-        hub = RegistryPublisher(
+        publisher = RegistryPublisher(
             table,
             domain,
             self.sender(place),
@@ -72,10 +72,10 @@
             lambda: True,
             lambda: place not in self.leaderless,
         )
-        publisher = self.publishers[place] = EvacuationPublisher(
-            hub.reachable_subscribers, self.sender(place), self.clock
+        evacuation_publisher = self.evacuation_publishers[place] = EvacuationPublisher(
+            publisher.active_subscribers, self.sender(place), self.clock
         )
-        link = Subscription(
+        subscription = Subscription(
             domain,
             True,
             seeds,
@@ -85,13 +85,13 @@
             table.apply_peer_run,
             lambda _: None,
             Counters(),
-            publisher,
+            evacuation_publisher,
         )
-        self.hubs[place] = (table, hub)
-        publisher.on_known = link.poll
-        hub.list_other_controls = link.reachable_links
-        link.on_numbered_report = table.apply_numbered_report
-        self.links[place] = link
+        self.controls[place] = (table, publisher)
+        evacuation_publisher.on_known = subscription.poll
+        publisher.list_other_controls = subscription.reachable_links
+        subscription.on_numbered_report = table.apply_numbered_report
+        self.subscriptions[place] = subscription
 
     def sender(self, source):
         def send(message, target):
@@ -120,37 +120,37 @@
                 }
                 handlers[body](getattr(message, body), source)
             elif body == "poll":
-                self.hubs[target][1].on_poll(message.poll, source)
+                self.controls[target][1].on_poll(message.poll, source)
             else:
-                self.links[target].on_delta(message.delta, source)
+                self.subscriptions[target].on_delta(message.delta, source)
 
     def step(self, count=1, step_s=0.1, check=lambda: None):
         """Advance the clock in steps, and call `check` after each."""
         for number in range(count):
             self.clock.value_s += step_s
-            for table, hub in self.hubs.values():
+            for table, publisher in self.controls.values():
                 table.sweep()
-                hub.flush()
-            for publisher in self.publishers.values():
-                publisher.publish()
+                publisher.flush()
+            for evacuation_publisher in self.evacuation_publishers.values():
+                evacuation_publisher.publish()
             if number % 4 == 0:
                 self.entry.poll()
-                for link in self.links.values():
-                    link.poll()
+                for subscription in self.subscriptions.values():
+                    subscription.poll()
             self.deliver()
             check()
 
     def table(self, number):
-        return self.hubs[address(number)][0]
+        return self.controls[address(number)][0]
 
-    def hub(self, number):
-        return self.hubs[address(number)][1]
+    def publisher(self, number):
+        return self.controls[address(number)][1]
 
     def evacuate(self, version, *domains, numbers=None):
         """Offer an evacuation at some control instances."""
-        for number in range(len(self.hubs)) if numbers is None else numbers:
+        for number in range(len(self.controls)) if numbers is None else numbers:
             evacuations = Evacuations(version=version, failure_domains=domains)
-            self.publishers[address(number)].offer(evacuations)
+            self.evacuation_publishers[address(number)].offer(evacuations)
 
     def received_runs(self):
         """Return the last received state of each run at the entry instance."""
