--- a/tests/registry/test_busy_control.py
+++ b/tests/registry/test_busy_control.py
@@ -32,6 +32,7 @@
         self.runs = RunTable(INTERVAL_S, self.clock)
         for number in range(1, run_count + 1):
             self.runs.report(report(number, place=number))
+        # One of three control instances receives a third of the reports.
         self.reports_per_step = run_count / 3 / INTERVAL_S * STEP_S
         self.publisher = RegistryPublisher(
             self.runs, "a", self.send, self.clock, lambda: True, lambda: True
@@ -92,6 +93,7 @@
 class TestBusyControl(unittest.TestCase):
     def test_sends_full_state_to_all_with_limited_processor_time(self):
         """Guards against a growing backlog of unread acknowledgements and resends."""
+        # The last argument is a share of one processor.
         control = BusyControl(1_000, 99, 0.13)
         control.advance(12.0)
         self.assertEqual(control.complete_count(), 99)
--- a/tests/registry/test_cut_off.py
+++ b/tests/registry/test_cut_off.py
@@ -40,7 +40,7 @@
         self.assertFalse(self.is_cut_off(links[:3], links))
 
     def test_partition_is_detected_within_the_control_lease(self):
-        """The start and the end of a partition are each detected within a lease."""
+        """The start is detected in a lease and two polls, the end in two polls."""
         world = World(("a", "b", "c"))
         world.leaderless = {address(0)}
         world.step(8)
--- a/tests/registry/test_many_subscribers.py
+++ b/tests/registry/test_many_subscribers.py
@@ -84,6 +84,7 @@
 
     def test_limits_a_round_and_continues_in_the_next(self):
         """Sending the full state to all leaves time to read acknowledgements."""
+        # Two of three entry instances are of the own failure domain.
         for entry in self.entries:
             poll = Poll(failure_domain="a" if entry[-1] % 3 else "b")
             self.publisher.on_poll(poll, entry)
@@ -92,6 +93,7 @@
             self.sent.clear()
             self.clock.value_s += 0.1
             self.publisher.flush()
+            # The limit of a round, and one window that began below it.
             self.assertLessEqual(len(self.sent), 600 + 8)
             for _, target in self.sent:
                 received[target] = received.get(target, 0) + 1
@@ -120,4 +122,5 @@
         for _ in range(20):
             self.clock.value_s += 0.02
             self.publisher.flush_if_due()
+        # Sent once to each entry instance, and resent at most twice.
         self.assertLessEqual(len(self.sent), 3 * 297)
--- a/tests/registry/test_numbers.py
+++ b/tests/registry/test_numbers.py
@@ -20,11 +20,11 @@
 
     def report(self, sequence, step_count=1, at=0, **fields):
         """Report run i-1, and advance the world."""
-        self.world.table(at).report(report(sequence=sequence, **(START | fields)))
+        self.world.run_table(at).report(report(sequence=sequence, **(START | fields)))
         self.world.step(step_count)
 
     def run_at(self, at=1):
-        return self.world.table(at).get("i-1")
+        return self.world.run_table(at).get("i-1")
 
     def test_numbered_report_saves_bytes(self):
         """Unchanged reports of many runs need a fraction of the bytes."""
@@ -33,7 +33,7 @@
             before = self.world.sent_bytes
             for number in range(1, 61):
                 run_report = report(number, sequence, place=number, **START)
-                self.world.table(0).report(run_report)
+                self.world.run_table(0).report(run_report)
             self.world.step()
             sent.append(self.world.sent_bytes - before)
         self.assertLess(sent[3], sent[0] / 5)
@@ -66,20 +66,22 @@
         self.report(2, at=1, started_ms=2_000)
         self.report(50)
         starts = {"i-1": 1_000}
-        last_report_s = self.world.table(1)._records.get("i-1").last_report_s
+        last_report_s = self.world.run_table(1)._records.get("i-1").last_report_s
         self.world.clock.value_s += 1.0
-        self.assertFalse(self.world.table(1).apply_numbered_report(1, 50, starts))
-        entry = self.world.table(1)._records.get("i-1")
-        self.assertEqual((entry.last_report_s, entry.run.sequence), (last_report_s, 2))
+        self.assertFalse(self.world.run_table(1).apply_numbered_report(1, 50, starts))
+        record = self.world.run_table(1)._records.get("i-1")
+        self.assertEqual(
+            (record.last_report_s, record.run.sequence), (last_report_s, 2)
+        )
 
     def test_ignores_numbered_report_with_older_sequence(self):
         """A duplicate report does not refresh the run."""
         self.report(9)
-        entry = self.world.table(1)._records.get("i-1")
-        last_report_s = entry.last_report_s
+        record = self.world.run_table(1)._records.get("i-1")
+        last_report_s = record.last_report_s
         self.world.clock.value_s += 1.0
-        self.world.table(1).apply_numbered_report(1, 9, {"i-1": 1_000})
-        self.assertEqual(entry.last_report_s, last_report_s)
+        self.world.run_table(1).apply_numbered_report(1, 9, {"i-1": 1_000})
+        self.assertEqual(record.last_report_s, last_report_s)
 
     def test_sends_changed_details_in_full(self):
         """Changes of slots and warm-up time reach other control instances."""
@@ -93,12 +95,12 @@
         """A receiver that had to reject a run can accept it later."""
         table = RunTable(INTERVAL_S, Clock())
         table.report(report(sequence=1, **START))
-        entry = table._records.get("i-1")
+        record = table._records.get("i-1")
         full = []
         for sequence in range(2, 26):
             after = table.index
             table.report(report(sequence=sequence, **START))
-            if not is_number_sufficient(entry, after):
+            if not is_number_sufficient(record, after):
                 full.append(sequence)
         self.assertEqual(full, [8, 16, 24])
 
@@ -107,7 +109,7 @@
         self.report(1)
         subscriber = self.world.publisher(0)._subscribers[address(1)]
         after = subscriber.seen_index
-        self.world.table(0).report(report(sequence=2, **START))
+        self.world.run_table(0).report(report(sequence=2, **START))
         for by_number in (False, True):
             (message,) = self.world.publisher(0)._deltas.make_messages_after(
                 after, True, by_number
--- a/tests/registry/test_own_domain.py
+++ b/tests/registry/test_own_domain.py
@@ -49,8 +49,8 @@
         self.world.step(30)
 
     def test_follows_only_own_domain_of_two(self):
-        """The own domain relays reports to any control instance."""
-        self.world.table(4).report(report())
+        """A report to any control instance arrives through the own domain."""
+        self.world.run_table(4).report(report())
         self.world.step(5)
         self.assertEqual(followed(self.world), OWN_DOMAIN)
         self.assertEqual(subscribed_controls(self.world), OWN_DOMAIN)
@@ -61,7 +61,7 @@
         world = World(PAIRED_DOMAINS)
         world.cut = {world.entry_address}
         for number in range(1, 60):
-            world.table(number % 6).report(report(number, place=number))
+            world.run_table(number % 6).report(report(number, place=number))
         world.step(20)
         world.cut = OTHER_DOMAINS
         world.step(2)
@@ -85,10 +85,10 @@
 
     def test_other_domains_replace_a_lost_own_domain(self):
         """No change is missed when both control instances of the own domain fail."""
-        self.world.table(2).report(report(sequence=1))
+        self.world.run_table(2).report(report(sequence=1))
         self.world.step(5)
         self.world.cut = set(OWN_DOMAIN)
-        self.world.table(2).report(report(sequence=2, draining=True))
+        self.world.run_table(2).report(report(sequence=2, draining=True))
         self.world.step(18)
         self.assertTrue(followed(self.world) <= OTHER_DOMAINS)
         self.assertTrue(self.world.received_runs()["i-1"].draining)
@@ -101,7 +101,7 @@
             self.assertEqual(self.world.entry.links[place].seen_index, 0)
         self.world.cut = {self.world.entry_address}
         for number in range(1, 40):
-            self.world.table(number % 6).report(report(number, place=number))
+            self.world.run_table(number % 6).report(report(number, place=number))
         self.world.step(40)
         self.world.cut = OTHER_DOMAINS
         self.world.step(2)
@@ -164,21 +164,21 @@
     def test_follows_instance_that_own_domain_cannot_reach(self):
         """Runs that report only to such an instance count as alive."""
         unreachable = address(2)
-        self.world.table(2).report(report(sequence=1))
+        self.world.run_table(2).report(report(sequence=1))
         self.world.step(5)
         self.world.cut_pairs = {frozenset((unreachable, place)) for place in OWN_DOMAIN}
         for sequence in range(2, 80):
-            self.world.table(2).report(report(sequence=sequence))
+            self.world.run_table(2).report(report(sequence=sequence))
             self.world.step()
             self.assertTrue(self.world.entry.is_reporting("i-1"))
-        self.assertTrue(self.world.table(0).get("i-1").silent)
+        self.assertTrue(self.world.run_table(0).get("i-1").silent)
         self.assertIn(unreachable, followed(self.world))
 
     def test_state_of_unfollowed_instance_is_ignored(self):
         """A run that is silent at all followed instances is not reporting."""
         self.world.cut = {address(0)}
         for sequence in range(1, 81):
-            self.world.table(2).report(report(sequence=sequence))
+            self.world.run_table(2).report(report(sequence=sequence))
             self.world.step()
             if sequence == 20:
                 self.world.cut = set()
@@ -194,17 +194,17 @@
         self.assertTrue(subscribed_controls(self.world) & OTHER_DOMAINS)
         self.world.cut = set()
         for number in range(1, 60):
-            self.world.table(3).report(report(number, place=number))
+            self.world.run_table(3).report(report(number, place=number))
             self.world.step()
         self.assertEqual(subscribed_controls(self.world), OWN_DOMAIN)
 
     def test_drain_survives_loss_of_receiving_instance(self):
-        """The receiving instance of another domain fails after acknowledging."""
-        self.world.table(3).report(report(sequence=1))
+        """The instance that received the drain fails after it has acknowledged it."""
+        self.world.run_table(3).report(report(sequence=1))
         self.world.step(5)
 
         async def drain():
-            self.world.table(3).report(report(sequence=2, draining=True))
+            self.world.run_table(3).report(report(sequence=2, draining=True))
             waiting = asyncio.ensure_future(self.world.publisher(3).flush_and_wait(1.0))
             await asyncio.sleep(0)
             self.world.deliver()
@@ -216,15 +216,15 @@
         self.assertTrue(self.world.received_runs()["i-1"].draining)
 
     def test_cut_off_requires_several_unanswered_requests(self):
-        """A partition counts, not the loss of the one instance that was probed."""
+        """A partition counts, not the loss of the one instance that is probed next."""
         for step_count in range(40, 60):
             self.world = World(PAIRED_DOMAINS)
             self.world.step(step_count)
-            watched = max(
+            next_probed = max(
                 (self.world.entry.links[place] for place in OTHER_DOMAINS),
                 key=lambda link: -link.requested_s,
             )
-            self.world.cut = {watched.address}
+            self.world.cut = {next_probed.address}
             self.world.step(9, check=self.assert_not_cut_off)
             self.world.leaderless = set(OWN_DOMAIN)
             self.world.step(30, check=self.assert_not_cut_off)
@@ -244,7 +244,7 @@
         return silent and is_cut_off(links, self.world.entry.reachable_links(), "a")
 
     def test_logs_each_switch_once_and_no_false_loss(self):
-        """One lost answer to a probe does not count as a lost instance."""
+        """A loss of all other domains for 0.8 s is not logged; each switch is, once."""
         entry = self.world.entry_address
         with TestHandler() as handler:
             self.world.cut_pairs = {
@@ -273,6 +273,7 @@
             send(message, target),
         )
         self.world.step(80)
+        # 8 s with a probe each 0.7 s.
         self.assertLessEqual(sum(target in OTHER_DOMAINS for target in sent), 11)
 
 
@@ -303,6 +304,7 @@
 
 def make_subscriber(world):
     subscriber = Subscriber()
+    # A poll in the future: its lease lasts during the steps that follow.
     subscriber.failure_domain, subscriber.last_poll_s = "b", world.clock() + 1.0
     return subscriber
 
@@ -329,7 +331,7 @@
         run_report = report(
             number, sequence, number, draining=is_draining, started_ms=1_000
         )
-        self.world.table(at).report(run_report)
+        self.world.run_table(at).report(run_report)
 
     @rule(places=st.sets(places, max_size=4))
     def cut(self, places):
@@ -341,6 +343,7 @@
 
     @rule(places=st.sets(places, max_size=4))
     def elect(self, places):
+        """Some control instances lose contact to the leader, all others have it."""
         self.world.leaderless = {address(number) for number in places}
 
     @rule(loss=st.sampled_from([0.0, 0.2]))
--- a/tests/registry/test_restarts.py
+++ b/tests/registry/test_restarts.py
@@ -63,7 +63,7 @@
         self.assertFalse(self.table.end_run("i-1", 2_000))
 
     def test_accepts_later_start_at_another_address(self):
-        """The earlier address is free, and late reports of it are ignored."""
+        """The earlier address is free, and late reports from it are ignored."""
         self.table.report(report(sequence=5, started_ms=1_000, place=1))
         self.table.report(report(sequence=1, started_ms=2_000, place=2))
         self.assertTrue(self.table.report(report(number=2, place=1, started_ms=1_500)))
@@ -114,7 +114,7 @@
 
 
 class TestContradictingReports(unittest.TestCase):
-    """Well-formed reports of unknown senders."""
+    """Well-formed reports that contradict known runs or settings."""
 
     def setUp(self):
         self.table = RunTable(INTERVAL_S, Clock())
@@ -139,7 +139,7 @@
                 self.assertEqual(self.table.snapshot(), before)
 
     def test_rejects_missing_start_time_while_others_have_one(self):
-        """A run without a start time is accepted only if no live run has one."""
+        """A run without a start time is rejected while most live runs have one."""
         without_start = {"number": 9, "place": 9}
         with self.assertRaises(ReportRefusedError):
             self.table.report(report(**without_start))
@@ -211,7 +211,7 @@
     """Two control instances receive restarts in any order; the oracle is a maximum.
 
     Each message may be delivered late and repeatedly, to either instance. The state of
-    an id in a table follows from the newest start that it received.
+    an id in a table follows from the newest start that the table received.
     """
 
     tables = st.integers(0, 1)
@@ -282,6 +282,7 @@
             self.sent_starts[source][run.id] = run.started_ms
             if not run.silent:
                 self.record_start(1 - source, run.id, run.started_ms, run.draining)
+            # A silent state of an unknown id is ignored.
             elif run.started_ms > self.newest[1 - source].get(run.id, 2**60):
                 self.record_start(1 - source, run.id, run.started_ms, run.draining)
 
--- a/tests/registry/test_runs.py
+++ b/tests/registry/test_runs.py
@@ -212,14 +212,15 @@
     @invariant()
     def changes_equal_those_of_a_full_scan(self):
         for table in self.tables:
-            entries = list(table._records)
+            records = list(table._records)
             for with_reports in (False, True):
                 last = {
-                    entry.run.id: last_index(entry, with_reports) for entry in entries
+                    record.run.id: last_index(record, with_reports)
+                    for record in records
                 }
                 for after in range(table.index + 1):
-                    newer = [(index, run) for run, index in last.items()]
-                    expected = sorted(pair for pair in newer if pair[0] > after)
+                    pairs = [(index, run) for run, index in last.items()]
+                    expected = sorted(pair for pair in pairs if pair[0] > after)
                     found = table.changes_after(after, with_reports)
                     assert [(index, run.id) for index, run in found] == expected
 
--- a/tests/registry/test_spreading.py
+++ b/tests/registry/test_spreading.py
@@ -23,10 +23,10 @@
         """A report reaches the other control instances and the entry instance."""
         world = World(("a", "b", "c"))
         world.step(5)
-        world.table(2).report(report())
+        world.run_table(2).report(report())
         world.step(10)
         self.assertIn("i-1", world.received_runs())
-        self.assertIsNotNone(world.table(0).get("i-1"))
+        self.assertIsNotNone(world.run_table(0).get("i-1"))
 
     def test_all_changes_arrive_on_a_lossy_network(self):
         """With a third of all messages lost, every change arrives eventually."""
@@ -34,8 +34,10 @@
         world.loss = 0.33
         world.step(10)
         for number in range(1, 60):
-            world.table(number % 2).report(report(number, place=number))
-            world.table(number % 2).end_run(f"i-{number - 3:x}") if number > 3 else None
+            world.run_table(number % 2).report(report(number, place=number))
+            world.run_table(number % 2).end_run(
+                f"i-{number - 3:x}"
+            ) if number > 3 else None
             world.step()
         world.step(60)
         ended = {run.id for run in world.received_runs().values() if run.ended}
@@ -46,11 +48,11 @@
         """A drain is acknowledged only after other instances have it."""
         world = World()
         world.step(5)
-        world.table(0).report(report(sequence=1))
+        world.run_table(0).report(report(sequence=1))
         world.step(5)
 
         async def drain():
-            world.table(0).report(report(sequence=2, draining=True))
+            world.run_table(0).report(report(sequence=2, draining=True))
             waiting = asyncio.ensure_future(world.publisher(0).flush_and_wait(1.0))
             await asyncio.sleep(0)
             world.deliver()
@@ -59,7 +61,7 @@
         self.assertTrue(asyncio.run(drain()))
         world.cut = {address(0)}
         self.assertTrue(world.received_runs()["i-1"].draining)
-        self.assertTrue(world.table(1).get("i-1").draining)
+        self.assertTrue(world.run_table(1).get("i-1").draining)
 
     def test_flush_and_wait_fails_with_unreachable_subscriber(self):
         """The wait for an unreachable subscriber ends with the timeout."""
@@ -68,7 +70,7 @@
         world.cut = {world.entry_address}
 
         async def drain():
-            world.table(0).report(report(draining=True))
+            world.run_table(0).report(report(draining=True))
             return await world.publisher(0).flush_and_wait(0.05)
 
         self.assertFalse(asyncio.run(drain()))
@@ -77,10 +79,10 @@
         """The state from before the restart is discarded."""
         world = World(("a",))
         world.step(5)
-        world.table(0).report(report(number=1, place=1))
+        world.run_table(0).report(report(number=1, place=1))
         world.step(5)
         world.start_control(0, "a", [address(0)])
-        world.table(0).report(report(number=2, place=2))
+        world.run_table(0).report(report(number=2, place=2))
         world.step(10)
         self.assertIn("i-2", world.received_runs())
         self.assertFalse(world.entry.is_reporting("i-1"))
@@ -89,11 +91,11 @@
         """Whether a run is reporting is decided for each start."""
         world = World()
         world.step(5)
-        world.table(0).report(report(started_ms=1_000))
+        world.run_table(0).report(report(started_ms=1_000))
         world.step(10)
         self.assertTrue(world.entry.is_reporting("i-1", 1_000))
         self.assertFalse(world.entry.is_reporting("i-1", 2_000))
-        world.table(1).report(report(started_ms=2_000))
+        world.run_table(1).report(report(started_ms=2_000))
         world.step(10)
         self.assertTrue(world.entry.is_reporting("i-1", 2_000))
         self.assertFalse(world.entry.is_reporting("i-1", 1_000))
@@ -153,7 +155,7 @@
         """A poll without pending changes is answered without a scan of the runs."""
         world = World(("a",))
         for number in range(1, 300):
-            world.table(0).report(report(number, place=number))
+            world.run_table(0).report(report(number, place=number))
         world.step(60)
         self.assertEqual(len(world.received_runs()), 299)
         with mock.patch.object(
@@ -170,6 +172,7 @@
         world.step(20)
         before = world.sent_bytes
         world.step(100)
+        # Bytes per second.
         self.assertLess((world.sent_bytes - before) / 10.0, 2_000)
 
     @given(st.binary(max_size=200))
@@ -187,8 +190,8 @@
         world.step(10)
         for sequence in range(1, 60):
             for number in range(1, 4):
-                world.table(0).report(report(number, sequence, number))
+                world.run_table(0).report(report(number, sequence, number))
             world.loss = 1.0 if sequence == 20 else 0.0
             world.step()
-        received = world.table(1).get("i-1").sequence
+        received = world.run_table(1).get("i-1").sequence
         self.assertGreaterEqual(received, 58)
--- a/tests/registry/test_starts_and_tables.py
+++ b/tests/registry/test_starts_and_tables.py
@@ -16,13 +16,16 @@
         """After a power loss, entry instances don't wait for the next poll."""
         world = World(("a",))
         world.step(5)
-        world.table(0).report(report())
+        world.run_table(0).report(report())
         world.step(5)
-        entries, runs = world.publisher(0).known_entries(), world.table(0).snapshot()
+        entries, runs = (
+            world.publisher(0).known_entries(),
+            world.run_table(0).snapshot(),
+        )
         self.assertEqual(entries, (KnownEntry(world.entry_address, "a"),))
         world.runs.clear()
         world.start_control(0, "a", [address(0)])
-        world.table(0).restore(runs)
+        world.run_table(0).restore(runs)
         world.publisher(0).greet(entries)
         world.publisher(0).publish_routes(compressed_table(9))
         world.deliver()
@@ -47,8 +50,8 @@
         world = World(("a", "b", "c", "d", "e"))
         table = compressed_table(9, routes=1_600)
         for number in range(5):
-            for run in range(1, 148):
-                world.table(number).report(report(run, place=run))
+            for run_number in range(1, 148):
+                world.run_table(number).report(report(run_number, place=run_number))
             world.publisher(number).greet([KnownEntry(world.entry_address, "a")])
             world.publisher(number).publish_routes(table)
         world.entry.poll()
@@ -66,7 +69,7 @@
         world = World(("a", "b"))
         world.leaderless = set(world.controls)
         for number in range(2):
-            world.table(number).report(report())
+            world.run_table(number).report(report())
             world.publisher(number).greet([KnownEntry(world.entry_address, "a")])
         world.deliver()
         self.assertIn("i-1", world.received_runs())
@@ -76,7 +79,7 @@
     def test_greeting_keeps_received_state(self):
         """A greeting does not discard the state of an entry instance."""
         world = World(("a",))
-        world.table(0).report(report())
+        world.run_table(0).report(report())
         world.step(5)
         world.entry.poll()
         world.publisher(0).on_poll(Poll(probe=True), world.entry_address)
@@ -88,23 +91,23 @@
 class TestTables(unittest.TestCase):
     """Distribution of routing tables to an entry instance."""
 
-    def offer_many_tables(self, world, count=20):
-        """Offer a large table at each step; return the received bytes per table."""
+    def publish_many_tables(self, world, count=20):
+        """Publish a table at each step; return the bytes received for each, and its size."""
         before = world.received_bytes
         for version in range(100, 100 + count):
-            offer = compressed_table(version, routes=240)
+            table = compressed_table(version, routes=240)
             for number in range(len(world.controls)):
-                world.publisher(number).publish_routes(offer)
+                world.publisher(number).publish_routes(table)
             world.step()
         world.step(2)
         self.assertEqual(world.entry.routes_version, 99 + count)
-        return (world.received_bytes - before) / count, len(offer.compressed)
+        return (world.received_bytes - before) / count, len(table.compressed)
 
     def test_one_control_instance_sends_each_table(self):
         """Frequent tables don't arrive from each followed instance."""
         world = World(("a", "b", "c"))
         world.step(20)
-        received_bytes, table_bytes = self.offer_many_tables(world)
+        received_bytes, table_bytes = self.publish_many_tables(world)
         self.assertLess(received_bytes, 1.4 * table_bytes)
 
     def test_another_instance_sends_tables_after_loss_of_sender(self):
@@ -135,16 +138,16 @@
         world.step(5)
         world.publisher(0).publish_routes(compressed_table(7, routes=600))
         world.step(60)
-        self.assertEqual([table.version for table in world.tables], [7])
+        self.assertEqual([table.version for table in world.received_tables], [7])
         world.publisher(1).publish_routes(compressed_table(6))
         world.step(20)
-        self.assertEqual([table.version for table in world.tables], [7])
+        self.assertEqual([table.version for table in world.received_tables], [7])
 
     def test_table_of_the_majority_arrives_during_a_partition(self):
-        """Followers of a minority of control instances receive the new table."""
+        """An entry instance that follows a minority receives the new table."""
         world = World(("a", "b", "c", "d", "e"))
         world.step(40)
         for number in (2, 3, 4):
             world.publisher(number).publish_routes(compressed_table(9))
         world.step(10)
-        self.assertEqual([table.version for table in world.tables], [9])
+        self.assertEqual([table.version for table in world.received_tables], [9])
--- a/tests/registry/worlds.py
+++ b/tests/registry/worlds.py
@@ -19,7 +19,7 @@
 
 
 def compressed_table(version, routes=1):
-    """Return an offer of a table with some routes."""
+    """Return a compressed routing table with some routes."""
     table = RoutingTable(version=version, services=["tab"])
     for number in range(routes):
         table.routes.append(TableRoute(host=random.getrandbits(32), port=number + 1))
@@ -33,13 +33,15 @@
         self.clock = Clock()
         self.random = random.Random(seed)
         self.loss = 0.0
+        #: Addresses that can't reach any other.
         self.cut = set()
         #: Pairs of addresses that can't reach each other.
         self.cut_pairs = set()
+        #: Control instances without contact to a Raft leader.
         self.leaderless = set()
         self.sent_bytes = self.received_bytes = 0
         self.queue = []
-        self.runs, self.tables = [], []
+        self.runs, self.received_tables = [], []
         self.controls, self.subscriptions, self.evacuation_publishers = {}, {}, {}
         #: Evacuated failure domains that the entry instance received.
         self.evacuated = []
@@ -55,7 +57,7 @@
             self.sender(self.entry_address),
             self.clock,
             self.runs.append,
-            self.tables.append,
+            self.received_tables.append,
             Counters(),
             KnownEvacuations(self.evacuated.append),
         )
@@ -125,7 +127,10 @@
                 self.subscriptions[target].on_delta(message.delta, source)
 
     def step(self, count=1, step_s=0.1, check=lambda: None):
-        """Advance the clock in steps, and call `check` after each."""
+        """Advance the clock in steps, and call `check` after each.
+
+        All instances poll in the first step of each call and in each fourth after it.
+        """
         for number in range(count):
             self.clock.value_s += step_s
             for table, publisher in self.controls.values():
@@ -140,14 +145,14 @@
             self.deliver()
             check()
 
-    def table(self, number):
+    def run_table(self, number):
         return self.controls[address(number)][0]
 
     def publisher(self, number):
         return self.controls[address(number)][1]
 
     def evacuate(self, version, *domains, numbers=None):
-        """Offer an evacuation at some control instances."""
+        """Publish evacuations at some control instances, all of them by default."""
         for number in range(len(self.controls)) if numbers is None else numbers:
             evacuations = Evacuations(version=version, failure_domains=domains)
             self.evacuation_publishers[address(number)].offer(evacuations)
