--- a/tests/registry/test_starts_and_tables.py
+++ b/tests/registry/test_starts_and_tables.py
@@ -92,7 +92,7 @@
     """Distribution of routing tables to an entry instance."""
 
     def publish_many_tables(self, world, count=20):
-        """Publish a table at each step; return the bytes received for each, and its size."""
+        """Publish a table at each step; return received and own bytes of each."""
         before = world.received_bytes
         for version in range(100, 100 + count):
             table = compressed_table(version, routes=240)
