--- a/src/agatethread/registry/_presence.py
+++ b/src/agatethread/registry/_presence.py
@@ -13,12 +13,12 @@
     Presence,
 )
 
-#: Time without a poll after which an instance is not serving; five polls.
+#: Time without a poll after which an entry instance counts as not serving; five polls.
 _SERVING_TIMEOUT_S = 2.0
 
 
 class PollingInstance(Protocol):
-    """Fields of a polling instance that are used here."""
+    """Fields of `Subscriber` that are read here."""
 
     failure_domain: str
     last_poll_s: float
@@ -34,9 +34,9 @@
     others : int
         All other entry instances.
     away : int
-        Entry instances that do not serve.
+        Entry instances that do not serve, or have not polled for 2 s.
     ahead : int
-        Entry instances that are leaving and go first.
+        Leaving entry instances with a lower address, which stop first.
     """
 
     others: int
@@ -58,7 +58,7 @@
 
 def rank_entries(
     entries: Iterable[tuple[str, bytes]],
-    reported: Mapping[str, int] = MappingProxyType({}),
+    reported_counts: Mapping[str, int] = MappingProxyType({}),
 ) -> dict[bytes, EntryRank]:
     """Return the ranks of entry instances, independent of the order of input.
 
@@ -68,8 +68,9 @@
     Parameters
     ----------
     entries : iterable of tuple of (str, bytes)
-        Failure domains and packed addresses of reachable entry instances.
-    reported : mapping of str to int, optional
+        Failure domains and packed addresses of the entry instances that polled this
+        control instance within their lease.
+    reported_counts : mapping of str to int, optional
         Counts by failure domain, as reported by control instances there.
 
     Returns
@@ -77,11 +78,11 @@
     dict of bytes to EntryRank
         Ranks by packed address.
     """
-    by_domain: dict[str, list[bytes]] = {domain: [] for domain in reported}
+    by_domain: dict[str, list[bytes]] = {domain: [] for domain in reported_counts}
     for domain, address in entries:
         by_domain.setdefault(domain, []).append(address)
     sizes = {
-        domain: max(len(addresses), reported.get(domain, 0))
+        domain: max(len(addresses), reported_counts.get(domain, 0))
         for domain, addresses in by_domain.items()
     }
     count = sum(sizes.values())
@@ -101,12 +102,14 @@
     rank: EntryRank
 
 
-def count_entries_by_domain(hubs: Iterable[_EntryCountSource]) -> dict[str, int]:
+def count_entries_by_domain(controls: Iterable[_EntryCountSource]) -> dict[str, int]:
     """Return the reported number of entry instances of each failure domain.
 
+    Between control instances, the count of a rank is that of one failure domain.
+
     Parameters
     ----------
-    hubs : iterable of ControlLink
+    controls : iterable of ControlLink
         Control instances that report them.
 
     Returns
@@ -115,13 +118,13 @@
         Highest reported count by failure domain.
     """
     counts: dict[str, int] = {}
-    for hub in hubs:
-        previous_count = counts.get(hub.failure_domain, 0)
-        counts[hub.failure_domain] = max(previous_count, hub.rank.count)
+    for control in controls:
+        previous_count = counts.get(control.failure_domain, 0)
+        counts[control.failure_domain] = max(previous_count, control.rank.count)
     return counts
 
 
-def count_domain(
+def count_domain_entries(
     subscribers: Mapping[bytes, PollingInstance], address: bytes, now_s: float
 ) -> DomainCounts:
     """Return counts of the other entry instances of a subscriber's failure domain.
@@ -145,6 +148,7 @@
     for other_address, other in subscribers.items():
         if other_address == address or other.failure_domain != domain:
             continue
+        # Control instances send no presence.
         if other.presence == PRESENCE_UNKNOWN:
             continue
         counts.others += 1
@@ -157,12 +161,12 @@
     return counts
 
 
-def merge_counts(reported: Iterable[DomainCounts]) -> DomainView | None:
+def merge_counts(reported_counts: Iterable[DomainCounts]) -> DomainView | None:
     """Return the highest of each count that control instances report.
 
     Parameters
     ----------
-    reported : iterable of DomainCounts
+    reported_counts : iterable of DomainCounts
         Counts from each control instance.
 
     Returns
@@ -170,7 +174,7 @@
     DomainView or None
         None if there are no counts.
     """
-    counts = list(reported)
+    counts = list(reported_counts)
     if not counts:
         return None
     return DomainView(
--- a/src/agatethread/registry/_subscription.py
+++ b/src/agatethread/registry/_subscription.py
@@ -1,7 +1,7 @@
 """Polls control instances, and receives their state.
 
 An entry instance follows some control instances, see `_selection`; a control instance
-follows all others.
+follows all others that are reachable, see `Subscription.reachable_links`.
 """
 
 from collections.abc import Callable, Mapping
@@ -11,18 +11,18 @@
 from agatethread.registry._control_link import ControlLink
 from agatethread.registry._evacuations import EvacuationPublisher, ReceivedEvacuations
 from agatethread.registry._own_domain import (
-    OwnDomainChoice,
-    add_own_domain,
-    count_other_instances,
+    OwnDomainSelector,
+    add_own_domain_controls,
+    choose_other_count,
 )
 from agatethread.registry._presence import DomainView, merge_counts
-from agatethread.registry._probing import Prober
+from agatethread.registry._probing import ControlProber
 from agatethread.registry._report import START_UNKNOWN
 from agatethread.registry._selection import (
     choose_followed,
     choose_routes_source,
     follows_enough,
-    needs_full_poll,
+    should_poll,
 )
 from agatethread.wire.registry_pb2 import (
     PRESENCE_UNKNOWN,
@@ -38,8 +38,8 @@
     Sightings,
 )
 
-#: Time without an answer after which a followed control instance is replaced; covers
-#: two polls and a resend.
+#: Lease of a control instance: time without a message after which it is no longer
+#: reachable, and is replaced if it was followed; covers two polls and a resend.
 _CONTROL_LEASE_S = 1.0
 
 log = make_logger("registry")
@@ -47,8 +47,8 @@
 Send = Callable[[RegistryMessage, bytes], None]
 
 
-def _ignore_report(number: int, sequence: int, starts: Mapping[str, int]) -> None:
-    """Ignore a report sent by run number."""
+def _ignore_report(number: int, sequence: int, start_times: Mapping[str, int]) -> None:
+    """Default of `Subscription.on_numbered_report`, for entry instances."""
 
 
 class Subscription:
@@ -76,7 +76,7 @@
         Counters of rejected messages.
     evacuations : ReceivedEvacuations or EvacuationPublisher, optional
         Store of received evacuations; a control instance passes its publisher, which
-        has them from the log.
+        gets evacuations from the Raft log.
     """
 
     def __init__(
@@ -105,7 +105,7 @@
         #: Presence of this entry instance, sent with polls.
         self.presence: Presence = PRESENCE_UNKNOWN
         self.routes_version = 0
-        #: Control instance that sends routing tables; None while all are asked.
+        #: Control instance that sends routing tables; None while all followed may.
         self._routes_source: ControlLink | None = None
         #: Called for each report sent by run number, with number, sequence and the
         #: start times known to the sender; control instances receive these.
@@ -113,9 +113,9 @@
             _ignore_report
         )
         self.links: dict[bytes, ControlLink] = {}
-        self._own_domain_choice = OwnDomainChoice(failure_domain, now_s)
+        self._own_domain_selector = OwnDomainSelector(failure_domain, now_s)
         self._followed: list[ControlLink] = []
-        self._prober = Prober(
+        self._prober = ControlProber(
             failure_domain, is_control, self.links.values, self._send_probe, now_s
         )
         for seed in seeds:
@@ -139,7 +139,7 @@
         link.failure_domain = failure_domain or link.failure_domain
 
     def reachable_links(self) -> list[ControlLink]:
-        """Return the reachable control instances.
+        """Return the control instances that sent a message in the last second.
 
         Returns
         -------
@@ -147,10 +147,10 @@
             Control instances in no particular order.
         """
         oldest_s = self._now_s() - _CONTROL_LEASE_S
-        return [link for link in self.links.values() if link.last_reply_s > oldest_s]
+        return [link for link in self.links.values() if link.last_message_s > oldest_s]
 
     def probe_if_unreachable(self) -> None:
-        """Send probes while no control instance is reachable."""
+        """Send probes if no control instance sent a message in the last second."""
         if not self.reachable_links():
             self._prober.probe_unfollowed([])
 
@@ -164,14 +164,14 @@
             return
         own_domain = self._choose_own_domain()
         if own_domain:
-            self._unfollow_others(own_domain)
+            self._unsubscribe_from_others(own_domain)
             self._poll_followed(own_domain)
             self._prober.probe_other_domains(own_domain)
             return
-        live, domain = self.reachable_links(), self._failure_domain
-        others_count = count_other_instances(self.links.values(), live, domain)
-        followed = choose_followed(live, domain, others_count)
-        polled = add_own_domain(followed, live, domain)
+        reachable, domain = self.reachable_links(), self._failure_domain
+        others_count = choose_other_count(self.links.values(), reachable, domain)
+        followed = choose_followed(reachable, domain, others_count)
+        polled = add_own_domain_controls(followed, reachable, domain)
         self._poll_followed(polled)
         if not follows_enough(followed, 1 + others_count):
             self._prober.probe_unfollowed(polled)
@@ -179,11 +179,11 @@
             self._prober.probe_own_domain(polled)
 
     def _choose_own_domain(self) -> list[ControlLink]:
-        """Return the own failure domain's control instances, if they suffice."""
+        """Return those of the own failure domain if others exist and they suffice."""
         domain = self._failure_domain
         if all(link.failure_domain == domain for link in self.links.values()):
             return []
-        return self._own_domain_choice.choose(self.reachable_links())
+        return self._own_domain_selector.choose(self.reachable_links())
 
     def _poll_followed(self, followed: list[ControlLink]) -> None:
         self._followed = followed
@@ -191,7 +191,7 @@
         for link in followed:
             self._send_poll(link, wants_reply=True)
 
-    def _unfollow_others(self, followed: list[ControlLink]) -> None:
+    def _unsubscribe_from_others(self, followed: list[ControlLink]) -> None:
         for link in self.links.values():
             was_polled = link.seen_index > 0 or link.polled_s > float("-inf")
             if was_polled and not link.is_unfollowed and link not in followed:
@@ -200,26 +200,26 @@
 
     def _mark_unreachable(self) -> None:
         for link in self.links.values():
-            # An instance without pending requests does not count as lost.
+            # Without a pending request, `unanswered_since_s` is infinite.
             unanswered_for_s = self._now_s() - link.unanswered_since_s
-            if link.is_reachable and unanswered_for_s > _CONTROL_LEASE_S:
-                link.is_reachable = False
+            if link.is_logged_reachable and unanswered_for_s > _CONTROL_LEASE_S:
+                link.is_logged_reachable = False
                 log.info(
                     Event.CONTROL_UNREACHABLE,
                     address=link.address.hex(),
                     failure_domain=link.failure_domain,
-                    silent_s=round(self._now_s() - link.last_reply_s, 3),
+                    silent_s=round(self._now_s() - link.last_message_s, 3),
                 )
 
     def _send_probe(self, link: ControlLink) -> None:
-        """Send a probe; only the own failure domain answers with its full state."""
+        """Send a probe; only the own failure domain answers with missing changes."""
         link.probed_s = self._now_s()
         self._send_poll(link, wants_reply=True, probe=not self._is_control)
 
     def _send_poll(
         self, link: ControlLink, wants_reply: bool, probe: bool = False
     ) -> None:
-        if wants_reply:
+        if wants_reply:  # else an acknowledgement or, as a probe, an unsubscription
             link.requested_s = self._now_s()
             link.unanswered_since_s = min(link.unanswered_since_s, link.requested_s)
             if not probe:
@@ -278,7 +278,7 @@
         if delta.HasField("hub"):
             link.update_state(delta.hub, self._now_s())
             link.controls = frozenset(control.address for control in delta.controls)
-        if not (delta.runs or delta.reporting or delta.complete):
+        if not (delta.runs or delta.reporting or delta.complete):  # a greeting
             self._on_greeting(link)
             return
         if delta.after_index > link.seen_index:
@@ -288,23 +288,23 @@
         for run in delta.runs:
             self._receive_run(link, run)
         for number, sequence in zip(delta.reporting, delta.sequences, strict=False):
-            self.on_numbered_report(number, sequence, link.reporting)
+            self.on_numbered_report(number, sequence, link.live_starts)
         if link.advance(delta):
             self._acknowledge(link)
         if delta.complete and not link.is_unfollowed:
             link.complete = True
 
     def _on_greeting(self, link: ControlLink) -> None:
-        """Request full state, unless an equivalent instance already sends it."""
+        """Poll a control instance, unless polled ones already send the same state."""
         now_s = self._now_s()
-        if needs_full_poll(link, self.reachable_links(), now_s, self.routes_version):
+        if should_poll(link, self.reachable_links(), now_s, self.routes_version):
             self._send_poll(link, wants_reply=True)
 
     def _receive_run(self, link: ControlLink, run: BackendRun) -> None:
         if run.ended or run.silent:
-            link.reporting.pop(run.id, None)
+            link.live_starts.pop(run.id, None)
         else:
-            link.reporting[run.id] = run.started_ms
+            link.live_starts[run.id] = run.started_ms
         self._on_run(run)
 
     def on_chunk(self, chunk: RoutesChunk, source: bytes) -> None:
@@ -354,7 +354,7 @@
         Returns
         -------
         bool
-            Whether one that knows every backend server has sent them all.
+            Whether one that knows every reporting backend server has sent them all.
         """
         return any(link.settled and link.complete for link in self.reachable_links())
 
@@ -364,12 +364,12 @@
         Parameters
         ----------
         since_s : float
-            Time before which received counts are ignored.
+            Counts received earlier are ignored.
 
         Returns
         -------
         DomainView or None
-            None if no counts were received since.
+            None if no counts were received since then.
         """
         links = [
             link for link in self.links.values() if link.domain_received_s >= since_s
@@ -377,7 +377,7 @@
         return merge_counts(link.domain for link in links)
 
     def is_reporting(self, run_id: str, started_ms: int = START_UNKNOWN) -> bool:
-        """Return whether a run may be alive, according to reachable instances.
+        """Return whether a run may be alive, according to reachable control instances.
 
         Parameters
         ----------
@@ -389,11 +389,11 @@
         Returns
         -------
         bool
-            True also if no reachable control instance has the full state.
+            True also if no reachable control instance has sent its full state.
         """
-        informed = [
+        synchronized = [
             link for link in self.reachable_links() if link.settled and link.complete
         ]
-        if not informed:
+        if not synchronized:
             return True
-        return any(link.reporting.get(run_id) == started_ms for link in informed)
+        return any(link.live_starts.get(run_id) == started_ms for link in synchronized)
--- a/src/agatethread/routing/_table.py
+++ b/src/agatethread/routing/_table.py
@@ -130,16 +130,14 @@
         conflicting_route = route_by_address.get((rule.host, rule.port))
         if conflicting_route is not None:
             yield RouteConflictError(
-                source, path, conflicting_route, "an address and port of its own"
+                source, path, conflicting_route, "an address of its own"
             )
         route_by_address[rule.host, rule.port] = rule.name
         if rule.timeout_ms <= 0:
             expected = "more than 0 (milliseconds)"
             yield FieldError(source, f"{path}.timeout_ms", rule.timeout_ms, expected)
         if sum(target.weight for target in rule.targets) <= 0:
-            yield FieldError(
-                source, f"{path}.targets", rule.targets, "a total weight above 0"
-            )
+            yield FieldError(source, f"{path}.targets", rule.targets, "some weight")
         for target in rule.targets:
             if target.service not in services:
                 expected = "a service of this document"
--- a/tests/registry/worlds.py
+++ b/tests/registry/worlds.py
@@ -19,7 +19,7 @@
 
 
 def compressed_table(version, routes=1):
-    """Return an offer of a table with some routes."""
+    """Return a compressed routing table with some routes."""
     table = RoutingTable(version=version, services=["tab"])
     for number in range(routes):
         table.routes.append(TableRoute(host=random.getrandbits(32), port=number + 1))
@@ -33,20 +33,22 @@
         self.clock = Clock()
         self.random = random.Random(seed)
         self.loss = 0.0
+        #: Addresses that can't reach any other.
         self.cut = set()
         #: Pairs of addresses that can't reach each other.
         self.cut_pairs = set()
+        #: Control instances without contact to a Raft leader.
         self.leaderless = set()
         self.sent_bytes = self.received_bytes = 0
         self.queue = []
-        self.runs, self.tables = [], []
-        self.hubs, self.links, self.publishers = {}, {}, {}
+        self.runs, self.received_tables = [], []
+        self.controls, self.subscriptions, self.evacuation_publishers = {}, {}, {}
         #: Evacuated failure domains that the entry instance received.
         self.evacuated = []
         self.entry_address = address(99)
         seeds = [address(number) for number in range(len(domains))]
         for number, domain in enumerate(domains):
-            self.start_hub(number, domain, seeds)
+            self.start_control(number, domain, seeds)
         self.entry = Subscription(
             "a",
             False,
@@ -55,16 +57,16 @@
             self.sender(self.entry_address),
             self.clock,
             self.runs.append,
-            self.tables.append,
+            self.received_tables.append,
             Counters(),
             ReceivedEvacuations(self.evacuated.append),
         )
 
-    def start_hub(self, number, domain, seeds):
+    def start_control(self, number, domain, seeds):
         """Start a control instance without state."""
         place = address(number)
         table = RunTable(INTERVAL_S, self.clock)
-        hub = RegistryPublisher(
+        publisher = RegistryPublisher(
             table,
             domain,
             self.sender(place),
@@ -72,10 +74,10 @@
             lambda: True,
             lambda: place not in self.leaderless,
         )
-        publisher = self.publishers[place] = EvacuationPublisher(
-            hub.reachable_subscribers, self.sender(place), self.clock
+        evacuation_publisher = self.evacuation_publishers[place] = EvacuationPublisher(
+            publisher.active_subscribers, self.sender(place), self.clock
         )
-        link = Subscription(
+        subscription = Subscription(
             domain,
             True,
             seeds,
@@ -85,13 +87,13 @@
             table.apply_peer_run,
             lambda _: None,
             Counters(),
-            publisher,
+            evacuation_publisher,
         )
-        self.hubs[place] = (table, hub)
-        publisher.on_acknowledged = link.poll
-        hub.list_other_controls = link.reachable_links
-        link.on_numbered_report = table.apply_numbered_report
-        self.links[place] = link
+        self.controls[place] = (table, publisher)
+        evacuation_publisher.on_acknowledged = subscription.poll
+        publisher.list_other_controls = subscription.reachable_links
+        subscription.on_numbered_report = table.apply_numbered_report
+        self.subscriptions[place] = subscription
 
     def sender(self, source):
         def send(message, target):
@@ -120,37 +122,40 @@
                 }
                 handlers[body](getattr(message, body), source)
             elif body == "poll":
-                self.hubs[target][1].on_poll(message.poll, source)
+                self.controls[target][1].on_poll(message.poll, source)
             else:
-                self.links[target].on_delta(message.delta, source)
+                self.subscriptions[target].on_delta(message.delta, source)
 
     def step(self, count=1, step_s=0.1, check=lambda: None):
-        """Advance the clock in steps, and call `check` after each."""
+        """Advance the clock in steps, and call `check` after each.
+
+        All instances poll in the first step of each call and in each fourth after it.
+        """
         for number in range(count):
             self.clock.value_s += step_s
-            for table, hub in self.hubs.values():
+            for table, publisher in self.controls.values():
                 table.sweep()
-                hub.flush()
-            for publisher in self.publishers.values():
-                publisher.publish()
+                publisher.flush()
+            for evacuation_publisher in self.evacuation_publishers.values():
+                evacuation_publisher.publish()
             if number % 4 == 0:
                 self.entry.poll()
-                for link in self.links.values():
-                    link.poll()
+                for subscription in self.subscriptions.values():
+                    subscription.poll()
             self.deliver()
             check()
 
-    def table(self, number):
-        return self.hubs[address(number)][0]
+    def run_table(self, number):
+        return self.controls[address(number)][0]
 
-    def hub(self, number):
-        return self.hubs[address(number)][1]
+    def publisher(self, number):
+        return self.controls[address(number)][1]
 
     def evacuate(self, version, *domains, numbers=None):
-        """Offer an evacuation at some control instances."""
-        for number in range(len(self.hubs)) if numbers is None else numbers:
+        """Publish evacuations at some control instances, all of them by default."""
+        for number in range(len(self.controls)) if numbers is None else numbers:
             evacuations = Evacuations(version=version, failure_domains=domains)
-            self.publishers[address(number)].publish_newer(evacuations)
+            self.evacuation_publishers[address(number)].publish_newer(evacuations)
 
     def received_runs(self):
         """Return the last received state of each run at the entry instance."""
