--- a/src/agatethread/client/_client.py
+++ b/src/agatethread/client/_client.py
@@ -36,7 +36,7 @@
 
 _NONCE_BYTES = 16
 _RESEND_INTERVAL_S = 0.2
-#: Used instead after an instance has accepted the request.
+#: Resend interval after an instance has accepted the request.
 _ACCEPTED_RESEND_INTERVAL_S = 0.5
 _HELLO_TIMEOUT_S = 3.0
 #: A shorter time to the deadline counts as a timeout.
@@ -55,7 +55,7 @@
     addresses : dict of str to str
         ``IP:port`` of each service.
     partner : str, default=""
-        Partner that the requests belong to; partners share a service equally.
+        Name under which the requests are queued; partners take turns at a service.
     """
 
     def __init__(self, addresses: dict[str, str], partner: str = ""):
@@ -238,9 +238,9 @@
     ) -> bytes:
         """Send a request and return its complete answer.
 
-        Within the timeout it is retried when it did not run because its owner is
-        leaving or was replaced (MOVED), or when it is idempotent and its outcome is
-        unknown.
+        Within the timeout it is retried when it was refused with MOVED (its owner
+        stopped dispatching, is leaving or could not claim it, so it did not run), or
+        when it is idempotent and its outcome is unknown.
 
         Parameters
         ----------
@@ -386,7 +386,7 @@
     addresses : dict of str to str
         ``IP:port`` of each service.
     partner : str, default=""
-        Partner that the requests belong to.
+        Name under which the requests are queued; see `Client`.
 
     Returns
     -------
--- a/src/agatethread/client/_stream.py
+++ b/src/agatethread/client/_stream.py
@@ -63,7 +63,7 @@
         """
         deadline_s = asyncio.get_running_loop().time() + timeout_s
         while asyncio.get_running_loop().time() < deadline_s:
-            self._send(Kind.OPEN, payload=payload)
+            self._send_kind(Kind.OPEN, payload=payload)
             done, _ = await asyncio.wait(
                 [self._opened], timeout=_OPEN_RESEND_INTERVAL_S
             )
@@ -84,9 +84,9 @@
             ):
                 self._fail("no datagram within the flow timeout")
                 return
-            self._send(Kind.KEEPALIVE, sequence=self._last_sequence)
+            self._send_kind(Kind.KEEPALIVE, sequence=self._last_sequence)
 
-    def _send(self, kind: int, **fields: object) -> None:
+    def _send_kind(self, kind: int, **fields: object) -> None:
         envelope = Envelope(
             kind=kind,
             service=self.service,
@@ -115,12 +115,12 @@
             raise PayloadTooLargeError(f"payload of {len(payload)} bytes does not fit")
         if self._failure_reason:
             raise FlowBrokenError(self._failure_reason)
-        self._send(Kind.DATA, payload=payload)
+        self._send_kind(Kind.DATA, payload=payload)
 
     def close(self) -> None:
         """Close the flow."""
         if not self.is_closed:
-            self._send(Kind.CLOSE)
+            self._send_kind(Kind.CLOSE)
         self._finish()
 
     def _finish(self) -> None:
@@ -181,7 +181,7 @@
             self._last_sequence += 1
             self._pushes.put_nowait(self._out_of_order.pop(self._last_sequence))
         # Acknowledges the pushes up to this sequence.
-        self._send(Kind.KEEPALIVE, sequence=self._last_sequence)
+        self._send_kind(Kind.KEEPALIVE, sequence=self._last_sequence)
 
     def __aiter__(self) -> "Stream":
         return self
--- a/src/agatethread/entry/_announcements.py
+++ b/src/agatethread/entry/_announcements.py
@@ -272,6 +272,8 @@
 
 
 def _check_fields(announcement: Announcement) -> None:
+    # The texts are part of the names of counters; the first one stands for a missing
+    # service or endpoint id, the last one for a lease of zero or above the limit.
     if not announcement.service or not announcement.endpoint_id:
         raise DatagramError("announcement without service")
     if not announcement.incarnation:
--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -99,7 +99,7 @@
             name=self.settings.name,
             failure_domain=self.settings.failure_domain,
             address=pack_address(parse_address(entry.inner_advertised or entry.inner)),
-            # Microseconds, so that later starts are higher, and random bits against ties.
+            # Microseconds, so that later starts are higher, and random bits for ties.
             incarnation=time.time_ns() // 1_000 << 8 | secrets.randbits(8),
             joining=bool(entry.warm_up_s),
         )
--- a/src/agatethread/sockets/_datagrams.py
+++ b/src/agatethread/sockets/_datagrams.py
@@ -71,6 +71,7 @@
             try:
                 data, source = receive(_RECEIVE_BYTES)
             except (BlockingIOError, ConnectionError):
+                # Ends the batch; the event loop calls again while datagrams wait.
                 return
             try:
                 handler(data, source)
--- a/src/agatethread/transfer/_assembler.py
+++ b/src/agatethread/transfer/_assembler.py
@@ -96,7 +96,8 @@
         Raises
         ------
         DatagramError
-            If the fragment does not match its message, or the checksum is wrong.
+            If the fragment has an invalid size or index, does not match the message's
+            first one, or the checksum of the message is wrong.
         TransferLimitError
             If a size or memory limit would be exceeded.
         """
@@ -144,6 +145,7 @@
             or not is_valid_size
             or envelope.fragment_index >= first.fragment_count
         ):
+            # The text is part of a counter's name and stands for all these conditions.
             raise DatagramError("wrong fragment")
 
     def _join_fragments(self, key: Hashable, partial: PartialMessage) -> Envelope:
--- a/src/agatethread/transfer/_splitting.py
+++ b/src/agatethread/transfer/_splitting.py
@@ -5,7 +5,8 @@
 from agatethread.exceptions import PayloadTooLargeError
 from agatethread.wire import MAX_DATAGRAM_BYTES, MAX_PAYLOAD_BYTES, Envelope
 
-#: Payload size of a fragment; leaves space for labels in the datagram.
+#: Payload size of a fragment; smaller than that of an unfragmented datagram, since a
+#: fragment also holds its index, the count and the checksum.
 FRAGMENT_BYTES = 900
 MAX_MESSAGE_BYTES = 8 << 20
 
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -18,18 +18,18 @@
 class FakeService:
     """Service double that answers each kind of datagram with prepared replies."""
 
-    def __init__(self, **answers):
-        self.answers = answers
+    def __init__(self, **replies):
+        self.replies = replies
         self.sent = []
 
     def sendto(self, data, _):
         envelope = Envelope.FromString(data)
         self.sent.append(envelope)
-        answers = self.answers.get(Kind.Name(envelope.kind), [])
-        answer = answers.pop(0) if answers else None
-        if answer is not None:
+        replies = self.replies.get(Kind.Name(envelope.kind), [])
+        prepared = replies.pop(0) if replies else None
+        if prepared is not None:
             reply = Envelope()
-            reply.CopyFrom(answer)
+            reply.CopyFrom(prepared)
             reply.service = envelope.service
             reply.flow_id = envelope.flow_id
             reply.operation_id = envelope.operation_id
@@ -136,11 +136,11 @@
 
     def test_tolerates_a_few_unreachable_replies(self):
         """A few UNREACHABLE replies do not end a request, many in a row do."""
-        hint = Envelope(kind=Kind.UNREACHABLE, token=TOKEN)
+        unreachable = Envelope(kind=Kind.UNREACHABLE, token=TOKEN)
         answer = Envelope(kind=Kind.ANSWER, payload=b"y")
-        service = FakeService(HELLO=[welcome()], REQUEST=[hint] * 3 + [answer])
+        service = FakeService(HELLO=[welcome()], REQUEST=[unreachable] * 3 + [answer])
         self.assertEqual(self.request(service, timeout_s=0.15), b"y")
-        service = FakeService(HELLO=[welcome()], REQUEST=[hint] * 20)
+        service = FakeService(HELLO=[welcome()], REQUEST=[unreachable] * 20)
         with self.assertRaisesRegex(OperationUnknownError, "HOME_LOST"):
             self.request(service)
 
--- a/tests/entry/test_instance.py
+++ b/tests/entry/test_instance.py
@@ -96,7 +96,7 @@
         values = {"address": pack_address(BACKEND)} | fields
         self.instance.announcements.on_forwarded(announcement(**values))
 
-    def data(
+    def make_datagram(
         self,
         service="tab",
         flow_id=7,
@@ -115,12 +115,12 @@
         )
         return envelope.SerializeToString()
 
-    def from_caller(self, *datagrams):
+    def receive_from_caller(self, *datagrams):
         handler = self.instance._datagram_router.on_caller_datagram
         socket = FakeSocket((data, CALLER) for data in datagrams)
         make_reader(socket, handler, self.counters)()
 
-    def from_inner(self, *datagrams, source=BACKEND):
+    def receive_on_inner(self, *datagrams, source=BACKEND):
         handler = self.instance._datagram_router.on_inner_datagram
         socket = FakeSocket((data, source) for data in datagrams)
         make_reader(socket, handler, self.counters)()
@@ -140,8 +140,8 @@
 
     def check_state_unchanged(self, datagrams):
         before = self.state()
-        self.from_caller(*datagrams)
-        self.from_inner(*datagrams)
+        self.receive_from_caller(*datagrams)
+        self.receive_on_inner(*datagrams)
         self.assertEqual(self.state(), before)
         self.assertEqual(self.counters["dropped_by_fault"], 0)
         self.assertEqual(self.to_backend, [])
@@ -169,14 +169,14 @@
 
     def test_oversized_datagrams_change_nothing(self):
         """A datagram above the size limit is dropped though its seal is valid."""
-        valid = Envelope.FromString(self.data())
+        valid = Envelope.FromString(self.make_datagram())
         valid.payload = bytes(1_400)
         self.check_state_unchanged([valid.SerializeToString()])
         self.assertEqual(self.counters["dropped_oversized"], 2)
 
     def test_truncated_datagrams_change_nothing(self):
         """Every prefix of a valid datagram is dropped or rejected."""
-        valid = self.data()
+        valid = self.make_datagram()
         self.check_state_unchanged([valid[:size] for size in range(len(valid) - 8)])
 
     def test_continues_after_exception_in_handler(self):
@@ -194,34 +194,36 @@
 class TestForwarding(InstanceCase):
     def test_forwards_unknown_flow_with_valid_cookie(self):
         """An instance without state forwards a flow with a valid cookie."""
-        self.from_caller(self.data())
+        self.receive_from_caller(self.make_datagram())
         (envelope, target), *rest = self.to_backend
         self.assertEqual((target, rest, envelope.incarnation), (BACKEND, [], 1))
 
     def test_forwards_reply_by_its_label(self):
         """A reply is forwarded by its label, but only from the labelled source."""
-        self.from_caller(self.data())
+        self.receive_from_caller(self.make_datagram())
         label = self.to_backend[0][0].return_label
         push = Envelope(kind=Kind.PUSH, flow_id=7, return_label=label)
         data = push.SerializeToString()
-        self.from_inner(data, source=("127.0.0.1", 6))
+        self.receive_on_inner(data, source=("127.0.0.1", 6))
         self.assertEqual(self.to_caller, [])
-        self.from_inner(data)
+        self.receive_on_inner(data)
         self.assertEqual(self.to_caller[0][1], CALLER)
 
     def test_drops_service_that_differs_from_cookie(self):
         """A datagram never reaches another service than that of its cookie."""
-        self.from_caller(self.data(service="tab", service_field="receipts"))
+        self.receive_from_caller(
+            self.make_datagram(service="tab", service_field="receipts")
+        )
         self.assertEqual(self.to_backend, [])
         self.assertEqual(self.counters["dropped_wrong_service"], 1)
 
     def test_resets_old_flows_of_reused_address(self):
         """Old flows of an address that another service uses now are reset."""
         self.announce()
-        self.from_caller(self.data())
+        self.receive_from_caller(self.make_datagram())
         self.assertEqual(len(self.to_backend), 1)
         self.announce(service="receipts", incarnation=2)
-        self.from_caller(self.data())
+        self.receive_from_caller(self.make_datagram())
         self.assertEqual(len(self.to_backend), 1)
         self.assertEqual(self.to_caller[0][0].reason, Reason.ENDPOINT_GONE)
 
@@ -235,13 +237,13 @@
     def test_forwards_flow_of_newer_unknown_run(self):
         """A flow of a run without an announcement yet is not reset."""
         self.announce()
-        self.from_caller(self.data(incarnation=2))
+        self.receive_from_caller(self.make_datagram(incarnation=2))
         self.assertEqual(len(self.to_backend), 1)
 
     def test_drops_flow_id_that_differs_from_cookie(self):
         """A cached route is used only for the flow of its cookie."""
-        self.from_caller(self.data(flow_id=7))
-        other = Envelope.FromString(self.data(flow_id=7))
+        self.receive_from_caller(self.make_datagram(flow_id=7))
+        other = Envelope.FromString(self.make_datagram(flow_id=7))
         other.flow_id = 8
-        self.from_caller(other.SerializeToString())
+        self.receive_from_caller(other.SerializeToString())
         self.assertEqual(len(self.to_backend), 1)
--- a/tests/transfer/test_transfer.py
+++ b/tests/transfer/test_transfer.py
@@ -70,7 +70,7 @@
             self.assertFalse(any(messages))
 
     def test_requests_missing_fragments_after_delay(self):
-        """Missing fragments are requested once and complete the message."""
+        """Missing fragments are requested once per delay and complete the message."""
         clock = Clock()
         receiver = assembler(clock)
         datagrams = split_message(message(10 * FRAGMENT_BYTES))
