--- a/src/agatethread/entry/_announcements.py
+++ b/src/agatethread/entry/_announcements.py
@@ -22,10 +22,11 @@
 
 #: The first instances in the ranking of a service: its dispatcher and the next one.
 _LEASE_HOLDER_COUNT = 2
-#: Limits of addresses in an acknowledgement, which must fit in a datagram.
+#: Limits of addresses in an acknowledgement.
 _ACK_INSTANCE_LIMIT_COUNT = 8
 _ACK_FALLBACK_LIMIT_COUNT = 2
-#: Time for which ended runs are kept, so that callers can still be notified.
+#: Time after the lease for which an ended run is kept, so that callers can still be
+#: notified.
 _GONE_RETENTION_S = 600.0
 _MAX_LEASE_MS = 600_000
 #: A longer time between sweeps, which run every 0.1 s, means that the process was
--- a/src/agatethread/entry/_datagrams.py
+++ b/src/agatethread/entry/_datagrams.py
@@ -29,7 +29,7 @@
 _FLOW_KINDS = frozenset((Kind.DATA, Kind.KEEPALIVE, Kind.CLOSE))
 _FLOW_REPLY_KINDS = frozenset((Kind.PUSH, Kind.KEEPALIVE_ACK, Kind.OPENED, Kind.CLOSED))
 
-Address = tuple[str, int]
+SocketAddress = tuple[str, int]
 
 
 class DatagramRouter:
@@ -59,7 +59,7 @@
         placer: FlowPlacer,
         flow_router: FlowRouter,
         requests: RequestRouter,
-        send_on_caller_socket: Callable[[bytes, Address], None],
+        send_on_caller_socket: Callable[[bytes, SocketAddress], None],
         fresh_token: Callable[[str], bytes],
     ):
         self._sealer = sealer
@@ -73,7 +73,7 @@
         self._send_on_caller_socket = send_on_caller_socket
         self._fresh_token = fresh_token
 
-    def on_caller_datagram(self, data: bytes, source: Address) -> None:
+    def on_caller_datagram(self, data: bytes, source: SocketAddress) -> None:
         """Handle a datagram received on the callers' socket.
 
         Parameters
@@ -115,7 +115,7 @@
             return
         raise DatagramError("unexpected kind")
 
-    def on_inner_datagram(self, data: bytes, source: Address) -> None:
+    def on_inner_datagram(self, data: bytes, source: SocketAddress) -> None:
         """Handle a datagram received on the inner socket.
 
         It was sent by a backend server or another entry instance.
@@ -194,7 +194,7 @@
             if not self._requests.on_relayed_reply(envelope, relay.caller):
                 self._flow_router.on_shed(envelope, relay.caller)
 
-    def _on_hello(self, envelope: Envelope, source: Address) -> None:
+    def _on_hello(self, envelope: Envelope, source: SocketAddress) -> None:
         welcome = Envelope(
             kind=Kind.WELCOME,
             service=envelope.service,
@@ -203,7 +203,7 @@
         )
         self._send_on_caller_socket(welcome.SerializeToString(), source)
 
-    def _on_probe(self, envelope: Envelope, source: Address) -> None:
+    def _on_probe(self, envelope: Envelope, source: SocketAddress) -> None:
         # Answers a health probe of the network fabric.
         is_leaving = self._members.own_member.state == MemberState.LEAVING
         reply = Envelope(kind=Kind.PROBE_ACK, sequence=envelope.sequence)
--- a/src/agatethread/entry/_dump.py
+++ b/src/agatethread/entry/_dump.py
@@ -32,6 +32,7 @@
     }
 
 
+# The type is left open, as the module of EntryInstance imports this one.
 def dump_entry(instance: Any) -> dict[str, Any]:
     """Return the state of an entry instance.
 
--- a/src/agatethread/entry/_forwarding.py
+++ b/src/agatethread/entry/_forwarding.py
@@ -23,12 +23,12 @@
 #: Size at which a cache is cleared. The caches avoid verifying a seal per datagram.
 _CACHE_LIMIT_COUNT = 4_096
 
-Address = tuple[str, int]
-Send = Callable[[bytes, Address], None]
+SocketAddress = tuple[str, int]
+Send = Callable[[bytes, SocketAddress], None]
 #: Backend server's address, fields appended to the datagram, service and flow id.
 #: Concatenated protobuf messages are merged, so the appended fields replace those
 #: of the sender.
-Route = tuple[Address, bytes, str, int]
+Route = tuple[SocketAddress, bytes, str, int]
 
 
 class FlowForwarder:
@@ -59,15 +59,15 @@
         self._send_on_inner_socket = send_on_inner_socket
         self._send_on_caller_socket = send_on_caller_socket
         self._counters = counters
-        self._routes: dict[tuple[bytes, Address], Route] = {}
-        self._labels: dict[bytes, tuple[StreamLabel, Address, Address]] = {}
+        self._routes: dict[tuple[bytes, SocketAddress], Route] = {}
+        self._labels: dict[bytes, tuple[StreamLabel, SocketAddress, SocketAddress]] = {}
 
     def clear_routes(self) -> None:
         """Clear the cached routes after a change of a backend server."""
         self._routes.clear()
 
     def forward_to_backend(
-        self, data: bytes, envelope: Envelope, caller: Address
+        self, data: bytes, envelope: Envelope, caller: SocketAddress
     ) -> bool:
         """Forward a caller's datagram of an open flow.
 
@@ -105,7 +105,7 @@
         self._counters["forwarded"] += 1
         return True
 
-    def _build_route(self, envelope: Envelope, caller: Address) -> Route | None:
+    def _build_route(self, envelope: Envelope, caller: SocketAddress) -> Route | None:
         cookie = parse_cookie(self._sealer, envelope.cookie)
         outcome = judge_open_flow(
             # The sealed cookie proves that the run existed.
@@ -144,7 +144,7 @@
             return True
         return current.gone
 
-    def _send_reset(self, envelope: Envelope, caller: Address) -> None:
+    def _send_reset(self, envelope: Envelope, caller: SocketAddress) -> None:
         self._counters["reset"] += 1
         reset = Envelope(
             kind=Kind.RESET,
@@ -156,7 +156,7 @@
         self._send_on_caller_socket(reset.SerializeToString(), caller)
 
     def forward_to_caller(
-        self, data: bytes, envelope: Envelope, source: Address
+        self, data: bytes, envelope: Envelope, source: SocketAddress
     ) -> StreamLabel | None:
         """Forward a backend server's datagram of a flow.
 
@@ -197,7 +197,7 @@
 
     def _parse_stream_label(
         self, envelope: Envelope
-    ) -> tuple[StreamLabel, Address, Address]:
+    ) -> tuple[StreamLabel, SocketAddress, SocketAddress]:
         label = parse_label(self._sealer, envelope.return_label)
         if not isinstance(label, StreamLabel):
             raise SealError("label is not a flow label")
--- a/src/agatethread/entry/_placement.py
+++ b/src/agatethread/entry/_placement.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _PendingFlow:
+class _Opening:
     datagram: bytes
     service: str
     flow_id: int
@@ -76,7 +76,7 @@
         self._send_caller = send_caller
         self._now_s = now_s
         self._counters = counters
-        self._pending: dict[int, _PendingFlow] = {}
+        self._pending: dict[int, _Opening] = {}
 
     def on_open(self, envelope: Envelope, caller: bytes) -> None:
         """Place a flow, or send the opening of a placed flow again.
@@ -89,7 +89,7 @@
             Packed address of the caller.
         """
         key = flow_key(envelope.service, envelope.flow_id)
-        pending = _PendingFlow(
+        opening = _Opening(
             envelope.SerializeToString(),
             envelope.service,
             envelope.flow_id,
@@ -98,51 +98,51 @@
         )
         endpoint = self._flows.get_endpoint(key)
         if endpoint is not None and not endpoint.gone:
-            self._send_open(pending, endpoint)
+            self._send_open(opening, endpoint)
             return
-        self._place(key, pending)
+        self._place(key, opening)
 
-    def _place(self, key: int, pending: _PendingFlow) -> None:
-        document = self._get_document(pending.service)
+    def _place(self, key: int, opening: _Opening) -> None:
+        document = self._get_document(opening.service)
         if document is None:
-            self._refuse(pending, Reason.NO_DOCUMENT)
+            self._refuse(opening, Reason.NO_DOCUMENT)
             return
         if self._flows.is_full:
-            self._refuse(pending, Reason.TABLE_FULL)
+            self._refuse(opening, Reason.TABLE_FULL)
             return
 
-        candidates = self._endpoints.of_service(pending.service)
+        candidates = self._endpoints.of_service(opening.service)
         now_s = self._now_s()
         endpoint = choose_for_stream(candidates, now_s, document.ramp_s)
         if endpoint is None:
             accepts_work = any(candidate.takes_new_work for candidate in candidates)
             reason = Reason.OVERLOADED if accepts_work else Reason.NO_ENDPOINT
-            self._refuse(pending, reason)
+            self._refuse(opening, reason)
             return
 
         endpoint.last_used_s = now_s
-        self._flows.place(key, endpoint, pending.caller)
-        self._pending[key] = pending
+        self._flows.place(key, endpoint, opening.caller)
+        self._pending[key] = opening
         self._counters["flow_placed"] += 1
-        self._send_open(pending, endpoint)
+        self._send_open(opening, endpoint)
 
-    def _refuse(self, pending: _PendingFlow, reason: int) -> None:
+    def _refuse(self, opening: _Opening, reason: int) -> None:
         self._counters["flow_refused_" + Reason.Name(reason).lower()] += 1
         verdict = Envelope(
             kind=Kind.REFUSED,
-            service=pending.service,
-            flow_id=pending.flow_id,
+            service=opening.service,
+            flow_id=opening.flow_id,
             reason=reason,
             retry_after_ms=round(_REFUSAL_RETRY_AFTER_S * 1000),
         )
-        self._send_caller(pending.caller, verdict.SerializeToString())
+        self._send_caller(opening.caller, verdict.SerializeToString())
 
-    def _send_open(self, pending: _PendingFlow, endpoint: Endpoint) -> None:
-        service = service_hash(pending.service)
+    def _send_open(self, opening: _Opening, endpoint: Endpoint) -> None:
+        service = service_hash(opening.service)
         cookie = Cookie(
-            endpoint.address, endpoint.incarnation, service, pending.flow_id
+            endpoint.address, endpoint.incarnation, service, opening.flow_id
         )
-        label = StreamLabel(pending.caller, service, pending.flow_id, endpoint.address)
+        label = StreamLabel(opening.caller, service, opening.flow_id, endpoint.address)
         suffix = Envelope(
             cookie=seal_cookie(self._sealer, cookie),
             return_label=seal_stream_label(self._sealer, label),
@@ -150,7 +150,7 @@
         ).SerializeToString()
         # Concatenated protobuf messages are merged, so the appended fields replace the
         # caller's.
-        self._send_backend(endpoint.address, pending.datagram + suffix)
+        self._send_backend(endpoint.address, opening.datagram + suffix)
 
     def is_pending(self, service: str, flow_id: int) -> bool:
         """Return whether a flow waits for the answer of its backend server.
@@ -197,19 +197,19 @@
         """
         key = flow_key(service, flow_id)
         endpoint = self._flows.get_endpoint(key)
-        pending = self._pending.get(key)
-        if pending is None or endpoint is None or endpoint.address != address:
+        opening = self._pending.get(key)
+        if opening is None or endpoint is None or endpoint.address != address:
             return
 
         endpoint.record_failure(self._now_s())
         self._flows.remove(key, None)
         del self._pending[key]
         self._counters["flow_shed"] += 1
-        pending.attempt_count += 1
-        if pending.attempt_count > _ATTEMPT_LIMIT_COUNT:
-            self._refuse(pending, Reason.OVERLOADED)
+        opening.attempt_count += 1
+        if opening.attempt_count > _ATTEMPT_LIMIT_COUNT:
+            self._refuse(opening, Reason.OVERLOADED)
             return
-        self._place(key, pending)
+        self._place(key, opening)
 
     def on_closed(self, service: str, flow_id: int, address: bytes) -> None:
         """Remove a flow that ended.
@@ -252,8 +252,8 @@
         The caller is not notified, as it resends the opening.
         """
         earliest_start_s = self._now_s() - _OPENING_TIMEOUT_S
-        for key, pending in list(self._pending.items()):
-            if pending.started_s < earliest_start_s:
+        for key, opening in list(self._pending.items()):
+            if opening.started_s < earliest_start_s:
                 del self._pending[key]
                 self._flows.remove(key, None)
                 self._counters["flow_open_timeout"] += 1
