--- a/benchmarks/operations_world.py
+++ b/benchmarks/operations_world.py
@@ -139,7 +139,7 @@
         elif peer.HasField("claim"):
             self.desk.standby_claims.on_claim(sender, peer.claim)
         elif peer.HasField("claim_reply"):
-            self.desk.owner.claims.on_reply(peer.claim_reply)
+            self.desk.owner.claim_requester.on_reply(peer.claim_reply)
         elif peer.HasField("verdict_note"):
             self.desk.standby_claims.on_verdict_note(peer.verdict_note)
 
--- a/src/agatethread/entry/_datagrams.py
+++ b/src/agatethread/entry/_datagrams.py
@@ -168,7 +168,7 @@
         elif body == "claim":
             self._requests.standby_claims.on_claim(sender, peer.claim)
         elif body == "claim_reply":
-            self._requests.owner.claims.on_reply(peer.claim_reply)
+            self._requests.owner.claim_requester.on_reply(peer.claim_reply)
         elif body == "verdict_note":
             self._requests.standby_claims.on_verdict_note(peer.verdict_note)
         elif body == "flow_closed":
--- a/src/agatethread/operations/_owner.py
+++ b/src/agatethread/operations/_owner.py
@@ -79,7 +79,7 @@
         self._is_dispatcher = is_dispatcher
         self._start_task = start_task
         self._counters = counters
-        self.claims = ClaimRequester(ports, claim_timeout_s, counters)
+        self.claim_requester = ClaimRequester(ports, claim_timeout_s, counters)
         self._table: RetainedTable[Operation] = RetainedTable(limit_count, retention_s)
         self._running: set[Operation] = set()
         self._attempts = Attempts(ports, sealer, counters)
@@ -292,7 +292,7 @@
             operation.attempt += 1
             self._check_may_start(operation)
             if not operation.idempotent and operation.token.standby != NO_MEMBER:
-                await self.claims.request_claim(operation, endpoint)
+                await self.claim_requester.request_claim(operation, endpoint)
                 self._check_may_start(operation)
             outcome = await self._attempts.run(operation, endpoint)
             if outcome.end is AttemptEnd.ANSWERED:
