--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -278,7 +278,7 @@
         bytes
             Sealed token.
         """
-        # The dispatcher becomes the owner of the operation.
+        # The dispatcher becomes the owner of operations with this token.
         hashed_service = service_hash(service)
         ranked = self.members.rank(hashed_service)
         owner = ranked[0].ref if ranked else NO_MEMBER
