--- a/src/agatethread/client/_pending_request.py
+++ b/src/agatethread/client/_pending_request.py
@@ -30,8 +30,8 @@
 
     def __init__(self, request: Envelope) -> None:
         self.service = request.service
-        # A small idempotent request is retried after the first UNREACHABLE reply, with a
-        # new token.
+        # A small idempotent request is retried after the first UNREACHABLE reply,
+        # with a new token.
         is_small = len(request.payload) <= MAX_PAYLOAD_BYTES
         self.may_retry_at_once = request.idempotent and is_small
         self.verdict = asyncio.get_running_loop().create_future()
