--- a/src/agatethread/entry/_dump.py
+++ b/src/agatethread/entry/_dump.py
@@ -32,6 +32,7 @@
     }
 
 
+# The type is left open, as the module of EntryInstance imports this one.
 def dump_entry(instance: Any) -> dict[str, Any]:
     """Return the state of an entry instance.
 
@@ -74,7 +75,7 @@
         "flows_counted": len(instance.flows),
         "operations_kept": len(instance.requests.owner),
         "operations_running": instance.requests.running_count,
-        "claims_kept": len(instance.requests.claims),
+        "claims_kept": len(instance.requests.standby_claims),
         "requests_waiting": instance.requests.waiting_counts,
         "documents_index": instance.document_store.index,
         "documents": {
--- a/src/agatethread/entry/_forwarding.py
+++ b/src/agatethread/entry/_forwarding.py
@@ -1,4 +1,4 @@
-"""Forward datagrams of open flows, using only state sealed in cookies and labels."""
+"""Forward datagrams of open flows by their cookies and labels, without flow records."""
 
 from collections.abc import Callable
 
@@ -20,13 +20,15 @@
     unpack_address,
 )
 
-#: Limit of cached cookies and labels, which would be decrypted for each datagram.
+#: Size at which a cache is cleared. The caches avoid verifying a seal per datagram.
 _CACHE_LIMIT_COUNT = 4_096
 
-Address = tuple[str, int]
-Send = Callable[[bytes, Address], None]
-#: Backend server's address, fields appended to the datagram, service and flow.
-Route = tuple[Address, bytes, str, int]
+SocketAddress = tuple[str, int]
+Send = Callable[[bytes, SocketAddress], None]
+#: Backend server's address, fields appended to the datagram, service and flow id.
+#: Concatenated protobuf messages are merged, so the appended fields replace those
+#: of the sender.
+Route = tuple[SocketAddress, bytes, str, int]
 
 
 class FlowForwarder:
@@ -35,11 +37,11 @@
     Parameters
     ----------
     sealer : Sealer
-        Decrypts cookies and labels.
+        Verifies cookies and labels, and seals labels.
     endpoints : EndpointTable
         Backend servers by address.
-    send_backend, send_caller : callable
-        Send a datagram to a backend server or caller.
+    send_on_inner_socket, send_on_caller_socket : callable
+        Send a datagram to a socket address, without splitting it.
     counters : Counters
         Counts datagrams by result.
     """
@@ -48,24 +50,24 @@
         self,
         sealer: Sealer,
         endpoints: EndpointTable,
-        send_backend: Send,
-        send_caller: Send,
+        send_on_inner_socket: Send,
+        send_on_caller_socket: Send,
         counters: Counters,
     ):
         self._sealer = sealer
         self._endpoints = endpoints
-        self._send_backend = send_backend
-        self._send_caller = send_caller
+        self._send_on_inner_socket = send_on_inner_socket
+        self._send_on_caller_socket = send_on_caller_socket
         self._counters = counters
-        self._routes: dict[tuple[bytes, Address], Route] = {}
-        self._labels: dict[bytes, tuple[StreamLabel, Address, Address]] = {}
+        self._routes: dict[tuple[bytes, SocketAddress], Route] = {}
+        self._labels: dict[bytes, tuple[StreamLabel, SocketAddress, SocketAddress]] = {}
 
     def clear_routes(self) -> None:
         """Clear the cached routes after a change of a backend server."""
         self._routes.clear()
 
     def forward_to_backend(
-        self, data: bytes, envelope: Envelope, caller: Address
+        self, data: bytes, envelope: Envelope, caller: SocketAddress
     ) -> bool:
         """Forward a caller's datagram of an open flow.
 
@@ -99,11 +101,11 @@
             self._counters["dropped_wrong_flow"] += 1
             return False
 
-        self._send_backend(data + suffix, target)
+        self._send_on_inner_socket(data + suffix, target)
         self._counters["forwarded"] += 1
         return True
 
-    def _build_route(self, envelope: Envelope, caller: Address) -> Route | None:
+    def _build_route(self, envelope: Envelope, caller: SocketAddress) -> Route | None:
         cookie = parse_cookie(self._sealer, envelope.cookie)
         outcome = decide_open_flow(
             # The sealed cookie proves that the run existed.
@@ -133,8 +135,8 @@
         return route
 
     def _has_ended(self, cookie: Cookie, service: str) -> bool:
-        # Without state of this run or a later one the flow counts as open; the backend
-        # server checks the incarnation, too.
+        # If no announcement of this run or a later one was received, the flow counts as
+        # open; the backend server checks the incarnation, too.
         current = self._endpoints.by_address.get(cookie.endpoint)
         if current is None or current.incarnation < cookie.incarnation:
             return False
@@ -142,7 +144,7 @@
             return True
         return current.gone
 
-    def _send_reset(self, envelope: Envelope, caller: Address) -> None:
+    def _send_reset(self, envelope: Envelope, caller: SocketAddress) -> None:
         self._counters["reset"] += 1
         reset = Envelope(
             kind=Kind.RESET,
@@ -151,10 +153,10 @@
             cookie=envelope.cookie,
             reason=Reason.ENDPOINT_GONE,
         )
-        self._send_caller(reset.SerializeToString(), caller)
+        self._send_on_caller_socket(reset.SerializeToString(), caller)
 
     def forward_to_caller(
-        self, data: bytes, envelope: Envelope, source: Address
+        self, data: bytes, envelope: Envelope, source: SocketAddress
     ) -> StreamLabel | None:
         """Forward a backend server's datagram of a flow.
 
@@ -189,13 +191,13 @@
             self._counters["dropped_wrong_source"] += 1
             return None
 
-        self._send_caller(data, caller)
+        self._send_on_caller_socket(data, caller)
         self._counters["returned"] += 1
         return label
 
     def _parse_stream_label(
         self, envelope: Envelope
-    ) -> tuple[StreamLabel, Address, Address]:
+    ) -> tuple[StreamLabel, SocketAddress, SocketAddress]:
         label = parse_label(self._sealer, envelope.return_label)
         if not isinstance(label, StreamLabel):
             raise SealError("label is not a flow label")
--- a/src/agatethread/transfer/_assembler.py
+++ b/src/agatethread/transfer/_assembler.py
@@ -20,7 +20,10 @@
 
 @dataclass(eq=False)
 class PartialMessage:
-    """Incomplete message with the fragments received so far."""
+    """Incomplete message with the fragments received so far.
+
+    The first fragment is the one that arrived first.
+    """
 
     first_fragment: Envelope
     source: bytes
@@ -93,7 +96,8 @@
         Raises
         ------
         DatagramError
-            If the fragment does not match its message, or the checksum is wrong.
+            If the fragment has an invalid size or index, does not match the message's
+            first one, or the checksum of the message is wrong.
         TransferLimitError
             If a size or memory limit would be exceeded.
         """
@@ -115,6 +119,7 @@
     ) -> PartialMessage:
         partial = PartialMessage(envelope, source, self._now_s())
         size_bytes = partial.reserved_bytes
+        # The last fragment may be partly filled.
         if size_bytes > MAX_MESSAGE_BYTES + FRAGMENT_BYTES:
             raise TransferLimitError("message exceeds the size limit")
         if self.reserved_bytes + size_bytes > self._limit_bytes:
@@ -140,6 +145,7 @@
             or not is_valid_size
             or envelope.fragment_index >= first.fragment_count
         ):
+            # The text is part of a counter's name and stands for all these conditions.
             raise DatagramError("wrong fragment")
 
     def _join_fragments(self, key: Hashable, partial: PartialMessage) -> Envelope:
