--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -92,7 +92,7 @@
     table = MemberTable(_member(0))
     for number in range(count):
         table.apply(_member(number))
-    while table.pop_gossip(1_000):
+    while table.next_gossip(1_000):
         continue
     return table
 
@@ -254,7 +254,7 @@
 
     def probe() -> None:
         peer = decode_peer(SEALER, ping)
-        table.pop_gossip(6)
+        table.next_gossip(6)
         encode_peer(SEALER, peer)
 
     endpoints = build_endpoints(1_000)
--- a/src/agatethread/entry/_announcements.py
+++ b/src/agatethread/entry/_announcements.py
@@ -88,7 +88,7 @@
         # Leases of newly held services and newly reachable failure domains were not
         # refreshed here before, so they are extended by one lease time.
         held_services = set(filter(self._is_lease_holder, self._endpoints.services()))
-        live_domains = {member.failure_domain for member in self._members.live()}
+        live_domains = {member.failure_domain for member in self._members.list_live()}
         now_s = self._now_s()
         for endpoint in self._endpoints.by_address.values():
             domain = endpoint.announcement.failure_domain
@@ -182,7 +182,7 @@
     def _acknowledge(self, announcement: Announcement, source: bytes) -> None:
         domain = announcement.failure_domain
         own_domain_addresses, other_domain_addresses = [], []
-        for member in self._members.live():
+        for member in self._members.list_live():
             addresses = (
                 own_domain_addresses
                 if member.failure_domain == domain
--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -380,7 +380,7 @@
         return {
             "flows_counted": lambda: len(self.flows),
             "operations_running": lambda: self.requests.running_count,
-            "members_live": lambda: len(self.members.live()),
+            "members_live": lambda: len(self.members.list_live()),
             "endpoints": lambda: len(self.endpoints.by_address),
             "documents_index": lambda: self.document_store.index,
         }
--- a/src/agatethread/membership/_members.py
+++ b/src/agatethread/membership/_members.py
@@ -6,14 +6,19 @@
 from agatethread.membership._ring import HashRing
 from agatethread.wire import MemberRef, MemberState, MemberUpdate
 
-#: Datagrams that a change is sent with, as a multiple of log2 of the member count.
+#: Each change is sent in this many datagrams times log2 of the member count.
 _GOSSIP_FACTOR = 3
+#: A suspected member may dispatch until it is declared dead, so that lost probes alone
+#: change no dispatcher.
 _DISPATCHING_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
 
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """State of one entry instance."""
+    """State of one entry instance.
+
+    The instance increases `counter` with each change of its own state.
+    """
 
     name: str
     failure_domain: str
@@ -30,7 +35,10 @@
 
     @property
     def precedence(self) -> tuple[int, int, int, bool]:
-        """Order of the states of one instance; the highest replaces the others."""
+        """Order of the states of one instance; the highest replaces the others.
+
+        Of otherwise equal states, the joined one replaces the joining one.
+        """
         return self.incarnation, self.counter, self.state, not self.joining
 
     def to_update(self) -> MemberUpdate:
@@ -77,7 +85,9 @@
 
 
 class MemberTable:
-    """Known instances; updates are applied in any order, the newest state wins.
+    """Known instances; of each, the state of the highest precedence is stored.
+
+    The result does not depend on the order of the updates.
 
     Parameters
     ----------
@@ -89,7 +99,8 @@
         self.own_member = own_member
         self.members: dict[str, Member] = {own_member.name: own_member}
         self._by_ref: dict[MemberRef, Member] = {own_member.ref: own_member}
-        self._gossip: dict[str, int] = {}
+        #: Datagrams that a changed state is still to be sent in, by member name.
+        self._remaining_sends: dict[str, int] = {}
         self._listeners: list[Callable[[Member], None]] = []
         self._joined_ring = HashRing()
         self._joining_ring = HashRing()
@@ -163,10 +174,11 @@
             self.apply(replace(member, state=MemberState.DEAD))
 
     def _refute(self, member: Member) -> bool:
+        """Publish a newer own state if a received one is newer; return if it is."""
         if member.precedence <= self.own_member.precedence:
             return False
 
-        # A higher incarnation of the own name means that the clock was set back
+        # A higher incarnation of the own name usually means that the clock was set back
         # between two starts; the present incarnation must be the highest.
         if member.incarnation > self.own_member.incarnation:
             self.update_own_state(incarnation=member.incarnation + 1)
@@ -190,7 +202,7 @@
             listener(member)
 
     def is_alive(self, ref: MemberRef) -> bool:
-        """Return whether an incarnation of an instance is known and not dead.
+        """Return whether an incarnation is known and not dead, in any other state.
 
         Parameters
         ----------
@@ -200,12 +212,12 @@
         Returns
         -------
         bool
-            False also for unknown incarnations.
+            True also for suspected and leaving instances; False for unknown ones.
         """
         member = self._by_ref.get(ref)
         return member is not None and member.state != MemberState.DEAD
 
-    def live(self) -> list[Member]:
+    def list_live(self) -> list[Member]:
         """Return the instances that are not dead, including this one.
 
         Returns
@@ -223,9 +235,11 @@
         list of Member
             In no particular order.
         """
-        return [member for member in self.live() if member.name != self.own_member.name]
+        return [
+            member for member in self.list_live() if member.name != self.own_member.name
+        ]
 
-    def dead(self) -> list[Member]:
+    def list_dead(self) -> list[Member]:
         """Return the instances that are known to be dead.
 
         Returns
@@ -248,7 +262,9 @@
         bool
             False if it is unreachable or empty.
         """
-        return any(member.failure_domain == failure_domain for member in self.live())
+        return any(
+            member.failure_domain == failure_domain for member in self.list_live()
+        )
 
     def rank(self, service: int, count: int = 2) -> tuple[Member, ...]:
         """Return the instances that may dispatch for a service, by rank.
@@ -300,10 +316,12 @@
                 ring.remove(member.name)
 
     def _queue_gossip(self, name: str) -> None:
-        self._gossip[name] = _GOSSIP_FACTOR * max(1, len(self.members).bit_length())
+        self._remaining_sends[name] = _GOSSIP_FACTOR * max(
+            1, len(self.members).bit_length()
+        )
 
-    def pop_gossip(self, limit: int) -> list[MemberUpdate]:
-        """Return the updates for the next datagram, and count each as sent once.
+    def next_gossip(self, limit: int) -> list[MemberUpdate]:
+        """Return the updates for the next datagram, and count each as sent in it.
 
         Parameters
         ----------
@@ -313,12 +331,14 @@
         Returns
         -------
         list of MemberUpdate
-            The least often sent first.
+            Those with the most remaining sends first.
         """
-        names = sorted(self._gossip, key=self._gossip.__getitem__, reverse=True)
+        names = sorted(
+            self._remaining_sends, key=self._remaining_sends.__getitem__, reverse=True
+        )
         chosen = names[:limit]
         for name in chosen:
-            self._gossip[name] -= 1
-            if not self._gossip[name]:
-                del self._gossip[name]
+            self._remaining_sends[name] -= 1
+            if not self._remaining_sends[name]:
+                del self._remaining_sends[name]
         return [self.members[name].to_update() for name in chosen]
--- a/src/agatethread/membership/_prober.py
+++ b/src/agatethread/membership/_prober.py
@@ -11,11 +11,12 @@
 from agatethread.timing import TimerService
 from agatethread.wire import Ack, MemberState, MemberUpdate, Peer, Ping
 
-_MAX_UPDATES = 6
+_MAX_UPDATES_PER_DATAGRAM = 6
 #: Updates in the reply to a join, which fits one datagram.
 _MAX_JOIN_UPDATES = 16
 _INDIRECT_PROBE_COUNT = 2
 _REJOIN_INTERVAL_S = 0.5
+#: A sleep that is longer by this time means that the process was suspended.
 _MAX_OVERSLEEP_S = 0.8
 
 Send = Callable[[bytes, Peer], None]
@@ -61,9 +62,10 @@
         self._suspicion_s = suspicion_s
         self._counters = counters
         self._sequence = 0
+        #: Direct and indirect probes; pings that only carry updates are not waited for.
         self._pending_probes: dict[int, asyncio.Future[None]] = {}
-        #: Names of the members left to probe in this round.
-        self._round: list[str] = []
+        #: Names of the members left to probe before each is probed again.
+        self._unprobed_names: list[str] = []
         self._random = random.Random(table.own_member.incarnation)
         table.subscribe(self._on_change)
 
@@ -84,7 +86,7 @@
         self._send(address, Peer(ping=ping))
 
     def send_own_state(self) -> None:
-        """Send this instance's own state to all other instances at once."""
+        """Send this instance's own state to all other live instances at once."""
         for member in self._table.live_peers():
             ping = self._new_ping()
             ping.updates.append(self._table.own_member.to_update())
@@ -92,7 +94,7 @@
 
     def _new_ping(self) -> Ping:
         self._sequence += 1
-        updates = self._table.pop_gossip(_MAX_UPDATES)
+        updates = self._table.next_gossip(_MAX_UPDATES_PER_DATAGRAM)
         return Ping(sequence=self._sequence, updates=updates)
 
     def _rejoin(self) -> None:
@@ -100,7 +102,7 @@
         # one exchange merges the tables of both sides. A seed that is not a member was
         # unreachable when this instance started, and no other member may know it, so
         # groups that started separately join through it.
-        candidates = [member.address for member in self._table.dead()]
+        candidates = [member.address for member in self._table.list_dead()]
         member_addresses = {member.address for member in self._table.members.values()}
         candidates += [seed for seed in self._seeds if seed not in member_addresses]
         if candidates:
@@ -113,12 +115,14 @@
 
     def _next_target(self) -> Member | None:
         while True:
-            if not self._round:
-                self._round = [member.name for member in self._table.live_peers()]
-                self._random.shuffle(self._round)
-            if not self._round:
+            if not self._unprobed_names:
+                self._unprobed_names = [
+                    member.name for member in self._table.live_peers()
+                ]
+                self._random.shuffle(self._unprobed_names)
+            if not self._unprobed_names:
                 return None
-            member = self._table.members[self._round.pop()]
+            member = self._table.members[self._unprobed_names.pop()]
             if member.state != MemberState.DEAD:
                 return member
 
@@ -165,17 +169,17 @@
         """
         self._apply_updates(ping.updates)
         if ping.target:
-            self.add_future(self._probe_for(sender, ping))
+            self.add_future(self._probe_indirectly(sender, ping))
             return
 
         self._send(sender, Peer(ack=self._make_ack(ping)))
 
     def _make_ack(self, ping: Ping) -> Ack:
         if not ping.join:
-            updates = self._table.pop_gossip(_MAX_UPDATES)
+            updates = self._table.next_gossip(_MAX_UPDATES_PER_DATAGRAM)
             return Ack(sequence=ping.sequence, updates=updates)
 
-        # The joining instance's own state comes first, so that it can refute its death.
+        # The known state of the joining instance comes first, so that it can refute it.
         names = [update.name for update in ping.updates]
         others = [name for name in self._table.members if name not in names]
         self._random.shuffle(others)
@@ -185,7 +189,7 @@
         ]
         return Ack(sequence=ping.sequence, updates=updates)
 
-    async def _probe_for(self, sender: bytes, ping: Ping) -> None:
+    async def _probe_indirectly(self, sender: bytes, ping: Ping) -> None:
         if await self._ping(ping.target, Ping()):
             self._send(sender, Peer(ack=Ack(sequence=ping.sequence)))
 
@@ -219,8 +223,7 @@
             self.add_future(self._await_refutation(member))
 
     async def _await_refutation(self, member: Member) -> None:
-        # After a much longer sleep this process was suspended, and may not have read
-        # the member's refutation yet.
+        # If this process was suspended, it may not have read the refutation yet.
         while True:
             started_s = self._timers.now_s()
             await asyncio.sleep(self._suspicion_s)
--- a/src/agatethread/membership/_ring.py
+++ b/src/agatethread/membership/_ring.py
@@ -5,7 +5,7 @@
 
 from xxhash import xxh64_intdigest
 
-#: More points distribute the services more evenly, and make changes slower.
+#: More points per instance distribute services more evenly, and make changes slower.
 _POINTS_PER_INSTANCE = 16
 #: From this number of changes on, a rebuild costs less than single insertions.
 _REBUILD_MIN_CHANGES = 64
@@ -84,7 +84,7 @@
         del self._owners[position]
 
     def find_owners(self, key: int, count: int) -> list[str]:
-        """Return the first instances at or after a position on the ring.
+        """Return the first different instances at or after a position on the ring.
 
         Parameters
         ----------
--- a/src/agatethread/registry/_admission.py
+++ b/src/agatethread/registry/_admission.py
@@ -2,22 +2,29 @@
 
 A backend server may restart at once under the same id, at the same address or another,
 and reports of both runs arrive in any order, through any control instance. A run is
-therefore identified by its id and start time, and the state of an id only moves
-forward: by start time, then by sequence number.
+therefore identified by its id and start time. A report replaces the state of an id
+only if its start time, or for the same run its sequence number, is higher.
 
 ==========================  =================================================
 Start time of the report    Outcome
 ==========================  =================================================
 that of the known run       accepted if its sequence number is higher
-later                       the earlier run is over, the new one is accepted
-earlier                     stale, whatever its sequence number
-missing                     refused where the id is known with a start time, or
-                            most live runs report theirs: backend servers all
-                            report it or none does; otherwise older than any
+later                       accepted as a new run, unless it changes the
+                            service of a live run
+earlier                     not accepted (`EARLIER_RUN`) until the known run
+                            has not reported for `RUN_RETENTION_S`; then
+                            accepted as a new run
+missing                     counts as 0; where `EARLIER_RUN` would apply, it is
+                            refused (`CONTRADICTS`)
 ==========================  =================================================
 
+A new run is also refused if a live run of another id has its number, or if another run
+holds its address. `RunTable` also refuses a report without a start time if most live
+runs report theirs.
+
 Start times come from the backend servers' own clocks. If a clock is set back between
-two starts, the second run is refused until the first is deleted.
+two starts, the second run is not accepted until the first has not reported for
+`RUN_RETENTION_S`.
 """
 
 from dataclasses import dataclass
@@ -26,13 +33,17 @@
 from agatethread.registry._report import START_UNKNOWN, Report
 from agatethread.wire.registry_pb2 import BackendRun
 
-#: How long an ended or silent run is stored, so that a late report can't revive or
-#: replace a run. Longer than a report can be delayed, and than the flows of a run live.
+#: How long an ended or silent run is stored, so that a delayed report is not taken for
+#: a new run. Longer than a report can be delayed, and than the flows of a run live.
 RUN_RETENTION_S = 180.0
 
 
 class Verdict(Enum):
-    """Outcome of checking a report; the value is the reason in logs and errors."""
+    """Outcome of checking a report; the value is the reason in logs and errors.
+
+    `OUTDATED` is returned for a sequence number that is not higher than the known one,
+    and for any report of a run that has ended.
+    """
 
     CONTINUES = "a later report of a known run"
     STARTS = "the first report of a run"
@@ -45,7 +56,7 @@
 
     @property
     def is_refusal(self) -> bool:
-        """Whether the sender can't be a backend server of this deployment."""
+        """Whether the report is invalid, not only outdated or early."""
         return self in (
             Verdict.CONTRADICTS,
             Verdict.UNKNOWN_SERVICE,
@@ -55,12 +66,12 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRun:
-    """A run that a report is compared with.
+    """A stored run that a report is compared with, and its age.
 
     Attributes
     ----------
     run : BackendRun
-        Its state.
+        The stored state of the run.
     last_report_age_s : float
         Time since its last report, or since its end.
     """
@@ -69,7 +80,7 @@
     last_report_age_s: float
 
 
-def judge_report(
+def check_report(
     report: Report,
     known_run: KnownRun | None,
     address_holder: KnownRun | None,
@@ -83,14 +94,15 @@
     report : Report
         The report.
     known_run : KnownRun or None
-        The newest known run of its id.
+        The newest known run of the report's id.
     address_holder : KnownRun or None
-        Another id's run that holds its address.
+        Another id's run that holds the report's address.
     same_number_run : BackendRun or None
-        A run of another id with the same number, which datagrams can't tell apart.
+        A run of another id with the same number. Datagrams identify runs by number, so
+        both can't be live.
     holder_timeout_s : float
-        Time since its last report after which a holder releases its address to a run
-        when it is unknown which of them started later.
+        A holder that has not reported for this time loses the address if the start
+        times don't show which run started later.
 
     Returns
     -------
@@ -103,7 +115,7 @@
             return verdict
     if same_number_run is not None and is_live(same_number_run):
         return Verdict.CONTRADICTS
-    if address_holder is not None and not _releases_address(
+    if address_holder is not None and not _loses_address(
         address_holder, report, holder_timeout_s
     ):
         return Verdict.ADDRESS_HELD
@@ -152,25 +164,24 @@
     return reported != (run.service, run.address, run.failure_domain)
 
 
-def _releases_address(
-    holder: KnownRun, report: Report, holder_timeout_s: float
-) -> bool:
+def _loses_address(holder: KnownRun, report: Report, holder_timeout_s: float) -> bool:
     if holder.last_report_age_s >= RUN_RETENTION_S:
         return True
     starts = (report.started_ms, holder.run.started_ms)
     if START_UNKNOWN not in starts and starts[0] != starts[1]:
         # Two runs can't share an address: the one that started first has ended.
         return starts[0] > starts[1]
-    # The run that reports regularly is live. A report of the other run was delayed;
-    # if it was not, the next one is accepted after the timeout.
+    # Assume that the holder is live and the report of the other run was delayed. If the
+    # other run is live instead, a report of it is accepted after the timeout.
     return holder.last_report_age_s >= holder_timeout_s
 
 
 def end_applies_to(run: BackendRun, started_ms: int) -> bool:
-    """Return whether an end reported for an id applies to the known run.
+    """Return whether an end report for an id applies to the known run.
 
-    Without a start time it may be late and refer to an earlier run. A backend server
-    drains before it ends, so it then applies only to a draining run.
+    An end report without a start time may be delayed and refer to an earlier run. A
+    backend server drains before it ends, so such a report applies only to a run that is
+    draining or has no start time either.
 
     Parameters
     ----------
--- a/src/agatethread/registry/_answers.py
+++ b/src/agatethread/registry/_answers.py
@@ -1,9 +1,12 @@
-"""Sums up the answers of each run as seen by entry instances.
+"""Sums the answer counts that entry instances report for each run.
 
-Handles a backend server whose answers are spread over many entry instances, each of
-which sees too few to tell a slow server from a slow request. The control instance that
-they report to sees all of them. Entry instances of one failure domain report to one
-control instance, so control instances exchange sums, of doubtful runs only.
+Needed when the answers of a backend server are spread over many entry instances, each
+of which sees too few to tell a slow server from a slow request. A control instance sums
+the reports that it receives. Entry instances of other failure domains report to other
+control instances, so control instances exchange the sums of doubtful runs.
+
+Fresh answers are those reported after the quality of a run last changed, plus the
+reporting delay (see `agatethread.balancing`).
 """
 
 from collections import Counter, deque
@@ -20,36 +23,36 @@
     PooledAnswers,
 )
 
-#: Answers seen within this time count. Long enough for a run under usual load to give
-#: several, and for one that gets only trial requests to give more than one.
+#: Length of the window over which answers are summed. Long enough for several answers
+#: of a run under usual load, and more than one of a run on probation.
 WINDOW_S = 2.0
-#: The newest part of the window, two reports of each entry instance, so that a run that
-#: became slow is detected without the answers from before.
+#: Length of the recent part of the window, two reports of each entry instance, so that
+#: a run that became slow is detected without its earlier answers.
 RECENT_S = 0.4
 #: Sums of other control instances are used for this time, which covers the loss of two
 #: consecutive messages.
-_PEER_RETENTION_S = 0.7
+_CONTROL_SUMS_RETENTION_S = 0.7
 #: Entry instances receive weights for this time after their last report.
-_REPORTER_RETENTION_S = 2.0
-#: A run is doubtful, and sent to other control instances, from this number and this
-#: share of bad answers on: a single one may be an outlier.
-_DOUBT_BAD_ANSWERS = 2
-_DOUBT_BAD_SHARE = 0.2
-#: Answers from which on a failure domain counts among those that reach a run.
+_REPORTER_TIMEOUT_S = 2.0
+#: A run with at least this number and this share of bad answers is doubtful, and its
+#: sums are sent to other control instances. A single bad answer may be an outlier.
+_DOUBTFUL_MIN_BAD_ANSWERS = 2
+_DOUBTFUL_MIN_BAD_SHARE = 0.2
+#: A failure domain with at least this many answers of a run counts as reaching it.
 _DOMAIN_MIN_ANSWERS = 3
 #: An entry instance with this many answers, this share of them bad, and bad ones from
 #: this many runs is slow itself or cut off from its callers; its reports are ignored.
 _FAULTY_SOURCE_MIN_ANSWERS = 6
 _FAULTY_SOURCE_BAD_SHARE = 0.6
 _FAULTY_SOURCE_MIN_RUNS = 3
-#: Used where no run was judged: no answer is fresh.
+#: Default if no run was judged: no answer is fresh.
 NO_FRESH_TIMES: Mapping[int, float] = MappingProxyType({})
 #: Runs in one message to a control instance, so that it fits one datagram.
 _MAX_POOLED_RUNS = 32
 
 
 class _SourceReport(NamedTuple):
-    """What one entry instance reported of a run at a time."""
+    """Answer counts of one run in one report of an entry instance."""
 
     received_s: float
     source: bytes
@@ -68,13 +71,14 @@
 
 @dataclass(frozen=True, slots=True)
 class _RunSums:
-    """What the entry instances that report to this instance saw of a run."""
+    """Answers of a run, summed over the reports to this instance."""
 
-    whole: AnswerCounts
+    window: AnswerCounts
     recent: AnswerCounts
     fresh: AnswerCounts
     good_since_bad: int
-    observers: int
+    #: Number of entry instances that reported a bad answer.
+    bad_sources: int
     #: Answers, and bad ones, by failure domain.
     by_domain: dict[str, tuple[int, int]]
 
@@ -142,7 +146,7 @@
         list of bytes
             Their packed addresses.
         """
-        oldest_s = now_s - _REPORTER_RETENTION_S
+        oldest_s = now_s - _REPORTER_TIMEOUT_S
         self._reporters = {
             source: reported_s
             for source, reported_s in self._reporters.items()
@@ -151,13 +155,13 @@
         return list(self._reporters)
 
     def collect_evidence(
-        self, now_s: float, fresh_from_s: Mapping[int, float] = NO_FRESH_TIMES
+        self, now_s: float, fresh_from_by_label: Mapping[int, float] = NO_FRESH_TIMES
     ) -> dict[int, Evidence]:
         """Return the sums over all sources of each run.
 
         Parameters
         ----------
-        fresh_from_s : mapping of int to float, optional
+        fresh_from_by_label : mapping of int to float, optional
             Time after which answers are fresh, by label.
         now_s : float
             Present time.
@@ -171,7 +175,10 @@
         faulty_sources = _find_faulty_sources(self._reports.values())
         self._own_sums = {
             label: _sum_reports(
-                reports, faulty_sources, now_s - RECENT_S, fresh_from_s.get(label, inf)
+                reports,
+                faulty_sources,
+                now_s - RECENT_S,
+                fresh_from_by_label.get(label, inf),
             )
             for label, reports in self._reports.items()
         }
@@ -187,7 +194,7 @@
                 reports.popleft()
             if not reports:
                 del self._reports[label]
-        oldest_s = now_s - _PEER_RETENTION_S
+        oldest_s = now_s - _CONTROL_SUMS_RETENTION_S
         self._peers = {
             source: peer
             for source, peer in self._peers.items()
@@ -196,30 +203,30 @@
 
     def _merge(self, label: int) -> Evidence:
         own = self._own_sums.get(label, _EMPTY_SUMS)
-        whole, recent, fresh = own.whole, own.recent, own.fresh
-        good_since_bad, observers = own.good_since_bad, own.observers
+        window, recent, fresh = own.window, own.recent, own.fresh
+        good_since_bad, bad_sources = own.good_since_bad, own.bad_sources
         by_domain = dict(own.by_domain)
         for peer in self._peers.values():
             pooled = peer.by_label.get(label)
             if pooled is None:
                 continue
             counts = AnswerCounts(pooled.answers, pooled.slow, pooled.failed)
-            whole = whole.add(counts)
+            window = window.add(counts)
             recent = recent.add(_recent_counts(pooled))
             fresh = fresh.add(AnswerCounts(pooled.fresh_answers, pooled.fresh_bad))
             good_since_bad += pooled.good_since_bad
-            observers += pooled.observers
+            bad_sources += pooled.observers
             answers, bad = by_domain.get(peer.failure_domain, (0, 0))
             by_domain[peer.failure_domain] = (
                 answers + counts.answers,
                 bad + counts.bad,
             )
         return Evidence(
-            window=whole,
+            window=window,
             recent=recent,
             fresh=fresh,
             good_since_bad=good_since_bad,
-            observers=observers,
+            observers=bad_sources,
             domains=sum(
                 1 for answers, _ in by_domain.values() if answers >= _DOMAIN_MIN_ANSWERS
             ),
@@ -227,7 +234,7 @@
         )
 
     def collect_doubtful(
-        self, failure_domain: str, not_good_labels: Container[int] = ()
+        self, failure_domain: str, judged_labels: Container[int] = ()
     ) -> PooledAnswers:
         """Return the sums of doubtful runs for other control instances.
 
@@ -235,15 +242,15 @@
         ----------
         failure_domain : str
             Of this control instance.
-        not_good_labels : container of int, optional
-            Labels of the runs that it judges as other than good.
+        judged_labels : container of int, optional
+            Runs that are not good, or were cleared recently; always doubtful.
 
         Returns
         -------
         PooledAnswers
-            As of the last call of `collect_evidence`: runs with several bad answers
-            here, those judged as other than good, and those that are doubtful to other
-            control instances, the worst first; usually empty.
+            Sums of runs that are doubtful here or at another control instance, those
+            with the most bad answers first; usually empty. Computed from the last call
+            of `collect_evidence`.
         """
         doubted_by_peers = {
             label
@@ -254,14 +261,14 @@
         doubted = {
             label
             for label, own in self._own_sums.items()
-            if label in not_good_labels or _is_doubtful(own.whole)
+            if label in judged_labels or _is_doubtful(own.window)
         }
         labels = [
             label
             for label, own in self._own_sums.items()
-            if own.whole.answers and (label in doubted or label in doubted_by_peers)
+            if own.window.answers and (label in doubted or label in doubted_by_peers)
         ]
-        labels.sort(key=lambda label: (-self._own_sums[label].whole.bad, label))
+        labels.sort(key=lambda label: (-self._own_sums[label].window.bad, label))
         runs = [
             _make_pooled_answer(label, self._own_sums[label], label in doubted)
             for label in labels[:_MAX_POOLED_RUNS]
@@ -277,13 +284,13 @@
     bad: Counter[bytes] = Counter()
     bad_runs: Counter[bytes] = Counter()
     for reports in reports_by_run:
-        sources = set()
+        bad_sources = set()
         for report in reports:
             answers[report.source] += report.answers
             if report.slow or report.failed:
                 bad[report.source] += report.slow + report.failed
-                sources.add(report.source)
-        bad_runs.update(sources)
+                bad_sources.add(report.source)
+        bad_runs.update(bad_sources)
     return {
         source
         for source, runs in bad_runs.items()
@@ -299,15 +306,15 @@
     recent_from_s: float,
     fresh_from_s: float,
 ) -> _RunSums:
-    whole, recent, fresh = [0, 0, 0], [0, 0, 0], [0, 0, 0]
+    window, recent, fresh = [0, 0, 0], [0, 0, 0], [0, 0, 0]
     good_since_bad = 0
-    observers: set[bytes] = set()
+    bad_sources: set[bytes] = set()
     by_domain: dict[str, tuple[int, int]] = {}
     for received_s, source, domain, answers, slow, failed in reports:
         if source in faulty_sources:
             continue
         for counts, from_s in (
-            (whole, -inf),
+            (window, -inf),
             (recent, recent_from_s),
             (fresh, fresh_from_s),
         ):
@@ -318,15 +325,15 @@
         bad = slow + failed
         good_since_bad = 0 if bad else good_since_bad + answers
         if bad:
-            observers.add(source)
+            bad_sources.add(source)
         answers_before, bad_before = by_domain.get(domain, (0, 0))
         by_domain[domain] = (answers_before + answers, bad_before + bad)
     return _RunSums(
-        AnswerCounts(*whole),
+        AnswerCounts(*window),
         AnswerCounts(*recent),
         AnswerCounts(*fresh),
         good_since_bad,
-        len(observers),
+        len(bad_sources),
         by_domain,
     )
 
@@ -336,21 +343,21 @@
 
 
 def _is_doubtful(counts: AnswerCounts) -> bool:
-    has_several_bad = counts.bad >= _DOUBT_BAD_ANSWERS
-    return has_several_bad and counts.bad >= _DOUBT_BAD_SHARE * counts.answers
+    has_several_bad = counts.bad >= _DOUBTFUL_MIN_BAD_ANSWERS
+    return has_several_bad and counts.bad >= _DOUBTFUL_MIN_BAD_SHARE * counts.answers
 
 
 def _make_pooled_answer(label: int, own: _RunSums, doubted: bool) -> PooledAnswer:
-    whole, recent = own.whole, own.recent
+    window, recent = own.window, own.recent
     return PooledAnswer(
         label=label,
-        answers=whole.answers,
-        slow=whole.slow,
-        failed=whole.failed,
+        answers=window.answers,
+        slow=window.slow,
+        failed=window.failed,
         recent_answers=recent.answers,
         recent_slow=recent.slow,
         recent_failed=recent.failed,
-        observers=own.observers,
+        observers=own.bad_sources,
         fresh_answers=own.fresh.answers,
         fresh_bad=own.fresh.bad,
         good_since_bad=own.good_since_bad,
--- a/src/agatethread/registry/_chunks.py
+++ b/src/agatethread/registry/_chunks.py
@@ -10,17 +10,18 @@
     RoutingTable,
 )
 
-#: Payload of one message; its datagram fits an Ethernet frame.
+#: Limit of the table data or runs in one message; leaves room in an Ethernet frame for
+#: the other fields.
 MESSAGE_PAYLOAD_BYTES = 1_100
 
 
 @dataclass(frozen=True, slots=True)
 class CompressedTable:
-    """The newest agreed routing table, compressed for sending."""
+    """The newest agreed routing table, compressed, and the evacuations of that time."""
 
     version: int
     compressed: bytes
-    #: Those that the log held together with this table.
+    #: Evacuations in the log when it held this table.
     evacuations: Evacuations = field(default_factory=Evacuations)
 
 
@@ -55,7 +56,7 @@
 
 
 class TableAssembler:
-    """The chunks of the newest table received so far.
+    """Joins the chunks of the newest routing table received so far.
 
     Chunks arrive in any order, and more than once.
     """
@@ -70,7 +71,7 @@
         Parameters
         ----------
         chunk : RoutesChunk
-            The chunk; its number is below its count.
+            The chunk; the caller has checked that its number is below its count.
 
         Returns
         -------
@@ -85,7 +86,7 @@
         self._parts[chunk.number] = chunk.data
         if None in self._parts:
             return None
-        # Repeated chunks are accepted again; a table in force is not requested again.
+        # Frees the chunks. The caller ignores chunks of a version that it has applied.
         table = RoutingTable.FromString(zlib.decompress(b"".join(self._parts)))
         self._version, self._parts = 0, []
         return table
--- a/src/agatethread/registry/_dispatchers.py
+++ b/src/agatethread/registry/_dispatchers.py
@@ -1,10 +1,10 @@
 """Chooses the entry instances that place the openings of each failure domain.
 
-Handles far more entry instances than slots for each, so that none can tell a busy
-backend server from a free one by its own flows; a few dispatchers that place for all
-can. Each control instance chooses those of its own failure domain, whose entry
-instances all poll it. The choice is a function of the serving instances and is not
-stored.
+With far more entry instances than slots, no entry instance can tell a busy backend
+server from a free one by its own flows. A few dispatchers therefore place the openings
+of all. Each control instance chooses the dispatchers of its own failure domain, among
+the entry instances that poll it or another control instance of the domain. The choice
+is a function of the serving instances and is not stored.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Sequence
@@ -21,8 +21,8 @@
     HubState,
 )
 
-#: An entry instance without a poll for this time, more than two poll intervals, is left
-#: out: openings relayed to a failed one wait for the caller's next copy.
+#: An entry instance without a poll for this time, more than two poll intervals, is not
+#: chosen: an opening relayed to a failed dispatcher is lost until its caller resends.
 _ENTRY_TIMEOUT_S = 1.0
 #: Dispatchers reported by a control instance are used for this time.
 _CONTROL_TIMEOUT_S = 2.0
@@ -36,7 +36,7 @@
     runs : iterable of BackendRun
         All runs.
     failure_domain : str
-        Its name.
+        Name of the failure domain.
 
     Returns
     -------
@@ -50,7 +50,7 @@
     )
 
 
-def list_serving(
+def list_serving_entries(
     failure_domain: str, entries: Iterable[tuple[bytes, PollingInstance]], now_s: float
 ) -> list[bytes]:
     """Return the entry instances of a failure domain that serve callers.
@@ -58,7 +58,7 @@
     Parameters
     ----------
     failure_domain : str
-        Its name.
+        Name of the failure domain.
     entries : iterable of tuple of (bytes, PollingInstance)
         Entry instances by their packed addresses, also of other failure domains.
     now_s : float
@@ -78,7 +78,7 @@
     ]
 
 
-def list_serving_at_peers(
+def list_serving_at_other_controls(
     failure_domain: str, links: Iterable[ControlLink], now_s: float
 ) -> list[bytes]:
     """Return the entry instances that poll the domain's other control instances.
@@ -89,7 +89,7 @@
     Parameters
     ----------
     failure_domain : str
-        Its name.
+        Name of the failure domain.
     links : iterable of ControlLink
         The reachable control instances.
     now_s : float
@@ -114,21 +114,21 @@
     entries: Iterable[tuple[bytes, PollingInstance]],
     slot_count: int,
     now_s: float,
-    serving_at_peers: Iterable[bytes] = (),
+    serving_at_other_controls: Iterable[bytes] = (),
 ) -> Dispatchers:
     """Return the dispatchers of a failure domain, chosen among its entry instances.
 
     Parameters
     ----------
     failure_domain : str
-        Its name.
+        Name of the failure domain.
     entries : iterable of tuple of (bytes, PollingInstance)
         Entry instances by their packed addresses, also of other failure domains.
     slot_count : int
         Slots of the domain's backend servers.
     now_s : float
         Present time.
-    serving_at_peers : iterable of bytes, optional
+    serving_at_other_controls : iterable of bytes, optional
         Entry instances that poll other control instances of the domain.
 
     Returns
@@ -136,7 +136,10 @@
     Dispatchers
         Without addresses where no entry instance serves.
     """
-    serving = {*list_serving(failure_domain, entries, now_s), *serving_at_peers}
+    serving = {
+        *list_serving_entries(failure_domain, entries, now_s),
+        *serving_at_other_controls,
+    }
     return Dispatchers(
         failure_domain=failure_domain,
         addresses=choose_dispatchers(sorted(serving), slot_count),
@@ -177,7 +180,7 @@
     """Return the dispatchers that control instances chose for their own domains.
 
     Only these may be forwarded: two control instances that forwarded to each other what
-    a third reported would keep it after the third has failed.
+    a third reported would go on using its report after the third has failed.
 
     Parameters
     ----------
@@ -201,7 +204,10 @@
 def _list_recent(
     links: Iterable[ControlLink], now_s: float
 ) -> Iterator[tuple[ControlLink, Dispatchers]]:
-    """Yield recent dispatchers that are not empty, in the same order everywhere."""
+    """Yield recent dispatchers that are not empty, by control instance address.
+
+    With this order all instances choose the same.
+    """
     for link in sorted(links, key=lambda link: link.address):
         if now_s - link.dispatchers_received_s >= _CONTROL_TIMEOUT_S:
             continue
@@ -261,7 +267,8 @@
         self._list_runs = list_runs
         self._list_controls = list_controls
         self._now_s = now_s
-        #: Earlier, not all entry instances have polled this control instance.
+        #: No dispatchers are chosen before this time, so that every entry instance can
+        #: have polled this control instance.
         self._first_choice_s = now_s() + _ENTRY_TIMEOUT_S
         self._dispatchers: Sequence[Dispatchers] = ()
         self._digest = 0
@@ -299,7 +306,7 @@
         now_s = self._now_s()
         domain, controls = self._failure_domain, list(self._list_controls())
         entries = list(self._list_entries())
-        self._serving = list_serving(domain, entries, now_s)
+        self._serving = list_serving_entries(domain, entries, now_s)
         by_domain = list_by_own_control(controls, now_s)
         if now_s >= self._first_choice_s:
             by_domain[domain] = choose_for_domain(
@@ -307,7 +314,7 @@
                 entries,
                 count_slots(self._list_runs(), domain),
                 now_s,
-                list_serving_at_peers(domain, controls, now_s),
+                list_serving_at_other_controls(domain, controls, now_s),
             )
         self._dispatchers = [by_domain[domain] for domain in sorted(by_domain)]
         self._digest = compute_digest(self._dispatchers)
--- a/src/agatethread/registry/_evacuations.py
+++ b/src/agatethread/registry/_evacuations.py
@@ -13,7 +13,8 @@
 from agatethread.wire.registry_pb2 import Evacuations, RegistryMessage
 
 #: Time after which an unacknowledged change is sent again: longer than a round trip
-#: between failure domains, and short enough for several retries before the deadline.
+#: between failure domains, and short enough for several retries before a call of
+#: `wait_until_acknowledged` times out.
 _RESEND_INTERVAL_S = 0.15
 
 #: Lists reachable instances by packed address.
@@ -53,7 +54,7 @@
         self.newest = Evacuations()
         #: Version that all reachable entry instances have acknowledged.
         self.acknowledged_version = 0
-        #: Called when that version increases, so that others are notified at once.
+        #: Called when that version increases, to notify control instances at once.
         self.on_acknowledged: Callable[[], None] = _do_nothing
 
     def publish_newer(self, evacuations: Evacuations) -> bool:
@@ -77,7 +78,10 @@
         return True
 
     def publish(self) -> None:
-        """Send the evacuations where missing; to be called ten times a second."""
+        """Send the evacuations to entry instances that have not acknowledged them.
+
+        To be called ten times a second.
+        """
         if not self.newest.version:
             return
         now_s = self._now_s()
@@ -85,7 +89,7 @@
         entry_versions, control_versions = [], []
         for address, subscriber in self._subscribers():
             if subscriber.is_control:
-                # A release that does not accept numbers does not report its version.
+                # Older releases (without `takes_numbers`) don't report this version.
                 if subscriber.takes_numbers:
                     control_versions.append(subscriber.evacuations_version)
                 continue
@@ -97,27 +101,31 @@
                 subscriber.evacuations_sent_version = self.newest.version
                 subscriber.evacuations_sent_s = now_s
                 self._send(message, address)
-        known_version = min(entry_versions, default=self.newest.version)
-        has_increased = known_version > self.acknowledged_version
-        self.acknowledged_version = known_version
+        acknowledged_by_entries = min(entry_versions, default=self.newest.version)
+        has_increased = acknowledged_by_entries > self.acknowledged_version
+        self.acknowledged_version = acknowledged_by_entries
         if has_increased:
             self.on_acknowledged()
-        self._waiters.complete_through(min([known_version, *control_versions]))
+        self._waiters.complete_through(
+            min([acknowledged_by_entries, *control_versions])
+        )
 
     async def wait_until_acknowledged(self, version: int, timeout_s: float) -> bool:
-        """Wait until every reachable entry instance has a version.
+        """Wait until all reachable instances have acknowledged a version.
+
+        A control instance acknowledges it once all entry instances that follow it have.
 
         Parameters
         ----------
         version : int
             The version.
         timeout_s : float
-            Longest time to wait; 0 for no waiting.
+            Longest time to wait; 0 returns at once.
 
         Returns
         -------
         bool
-            Whether all have it.
+            Whether all have acknowledged it.
         """
         acknowledged = self._waiters.add(version)
         self.publish()
@@ -129,7 +137,7 @@
 
 
 class ReceivedEvacuations:
-    """The newest evacuations that a process has received.
+    """Applies received evacuations if they are newer, and stores their version.
 
     Parameters
     ----------
@@ -143,11 +151,11 @@
 
     @property
     def acknowledged_version(self) -> int:
-        """Version that this process acknowledges."""
+        """Version that this process acknowledges in its polls."""
         return self.version
 
     def store(self, evacuations: Evacuations) -> None:
-        """Store what a control instance publishes, unless it is not newer.
+        """Apply the evacuations of a control instance if they are newer.
 
         Parameters
         ----------
--- a/src/agatethread/registry/_hints.py
+++ b/src/agatethread/registry/_hints.py
@@ -1,8 +1,8 @@
 """Stores the instances that a control instance knows, as hints for its next start.
 
-With them, packets flow again before every backend server has reported and every entry
-instance has polled. They are written some time after a change, so they may be outdated
-or missing.
+With these hints, a restarted control instance can send the runs to entry instances
+before every backend server has reported and every entry instance has polled. They are
+written some time after a change, so they may be outdated or missing.
 """
 
 import os
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownEntry:
-    """An entry instance that backend servers are sent to.
+    """An entry instance that the runs are sent to.
 
     Attributes
     ----------
@@ -46,7 +46,7 @@
     Attributes
     ----------
     runs : tuple of BackendRun
-        Known backend servers.
+        Known runs of backend servers.
     entries : tuple of KnownEntry
         Known entry instances.
     """
@@ -65,7 +65,7 @@
     folder : str
         The data folder.
     runs : iterable of BackendRun
-        Known backend servers.
+        Known runs of backend servers.
     entries : iterable of KnownEntry, optional
         Known entry instances.
 
@@ -74,6 +74,7 @@
     OSError
         If they could not be written; the previous file stays.
     """
+    # The field `controls` holds the entry instances; control instances are not stored.
     nodes = [
         ControlNode(address=entry.address, failure_domain=entry.failure_domain)
         for entry in entries
@@ -104,7 +105,7 @@
     Returns
     -------
     Hints
-        Empty if there is no file, or it is damaged.
+        Empty if there is no file, or it is damaged or unreadable.
     """
     path = Path(folder) / _FILE_NAME
     try:
--- a/src/agatethread/registry/_index_waiters.py
+++ b/src/agatethread/registry/_index_waiters.py
@@ -4,7 +4,7 @@
 
 
 class IndexWaiters:
-    """Futures, each with the index that it waits for."""
+    """Futures, each with the log index or version that it waits for."""
 
     def __init__(self) -> None:
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
@@ -23,7 +23,8 @@
         Returns
         -------
         Future
-            Removed by the next call of `complete_through` if it is cancelled.
+            Completes without a result. If it is cancelled, the next call of
+            `complete_through` removes it.
         """
         future = asyncio.get_running_loop().create_future()
         self._waiters.append((index, future))
--- a/src/agatethread/registry/_probing_entries.py
+++ b/src/agatethread/registry/_probing_entries.py
@@ -1,4 +1,4 @@
-"""Stores the entry instances that probe a control instance without following it."""
+"""Stores the entry instances that probe a control instance but don't poll it."""
 
 from agatethread.registry._hints import KnownEntry
 
@@ -11,11 +11,13 @@
 class ProbingEntries:
     """Entry instances that sent a probe recently.
 
-    Handles a power failure of the whole site, after which each entry instance waits for
-    the first control instance: a started control instance greets these, too.
+    Needed after a power failure of the whole site, when each entry instance waits for
+    the first control instance. A control instance that starts also contacts these entry
+    instances.
     """
 
     def __init__(self) -> None:
+        #: Failure domain and time of the last probe, by packed address.
         self._probes: dict[bytes, tuple[str, float]] = {}
 
     def store_probe(self, address: bytes, failure_domain: str, now_s: float) -> None:
@@ -24,7 +26,7 @@
         Parameters
         ----------
         address : bytes
-            Its packed address.
+            Packed address of the entry instance.
         failure_domain : str
             Where it runs.
         now_s : float
--- a/src/agatethread/registry/_publisher.py
+++ b/src/agatethread/registry/_publisher.py
@@ -354,7 +354,7 @@
         entry instances may follow only their own failure domain.
         """
         now_s = self._now_s()
-        digest = self._sightings.digest(now_s)
+        digest = self._sightings.sum_all(now_s)
         if digest.runs:
             message = RegistryMessage(sightings=digest)
             for address, _ in self.reachable_entries():
@@ -363,7 +363,7 @@
             self._failure_domain, self.list_other_controls()
         ):
             return
-        sums = self._sightings.sum_domain(self._failure_domain, now_s)
+        sums = self._sightings.sum_domain_sightings(self._failure_domain, now_s)
         if sums.runs:
             message = RegistryMessage(sightings=sums)
             for address, subscriber in self.reachable_subscribers():
--- a/src/agatethread/registry/_quality.py
+++ b/src/agatethread/registry/_quality.py
@@ -1,4 +1,4 @@
-"""Judges backend servers by their answers, and sends entry instances the weights."""
+"""Judges runs by their answers, and sends entry instances the reduced weights."""
 
 from collections.abc import Callable, Iterable, Mapping
 from typing import Protocol
@@ -30,23 +30,24 @@
 #: Weights are sent for this time after the last run regained its full weight; by then
 #: earlier weights have expired at entry instances that missed the change.
 _RECOVERY_RESEND_S = 2.0
-#: Interval of messages about doubtful runs.
-_DOUBTS_INTERVAL_S = 0.2
+#: Least interval of messages about doubtful runs to other control instances.
+_DOUBTFUL_SEND_INTERVAL_S = 0.2
 
-#: Shortest time between two listings of the entry instances for an unknown sender.
-_LIST_INTERVAL_S = 0.2
+#: A report of an unknown sender causes the entry instances to be listed again, at most
+#: once in this time.
+_RELIST_INTERVAL_S = 0.2
 
 log = make_logger("quality")
 
 
-class Reporter(Protocol):
+class AnswerSource(Protocol):
     """An entry instance that reports answers."""
 
     failure_domain: str
 
 
 class QualityMonitor:
-    """Judges each run for one control instance.
+    """Judges the runs from reported answers, and sends the reduced weights.
 
     Parameters
     ----------
@@ -63,14 +64,14 @@
     now_s : callable
         Monotonic clock.
     counters : Counters
-        Counts decisions.
+        Counts quality changes and reports of unknown senders.
     """
 
     def __init__(
         self,
         failure_domain: str,
         runs: Callable[[], Iterable[BackendRun]],
-        entries: Callable[[], Iterable[tuple[bytes, Reporter]]],
+        entries: Callable[[], Iterable[tuple[bytes, AnswerSource]]],
         peers: Callable[[], Iterable[bytes]],
         send: Callable[[RegistryMessage, bytes], None],
         now_s: Callable[[], float],
@@ -87,9 +88,13 @@
         self._judgements: dict[int, Judgement] = {}
         self._evidence: Mapping[int, Evidence] = {}
         self._sent_weights: tuple[tuple[int, int], ...] = ()
-        self._weights_sent_s = self._reduced_s = self._doubts_sent_s = float("-inf")
-        #: Failure domains of entry instances, and when they were last listed.
+        #: `_last_reduced_s`: last time at which a weight was reduced or restored.
+        self._weights_sent_s = self._last_reduced_s = self._doubtful_sent_s = float(
+            "-inf"
+        )
+        #: Failure domains of entry instances, by packed address.
         self._domains: dict[bytes, str] = {}
+        #: Time at which the entry instances were last listed.
         self._listed_s = float("-inf")
 
     def on_message(self, message: RegistryMessage, source: bytes) -> None:
@@ -118,16 +123,16 @@
         source : bytes
             Packed address of the sender.
         """
-        domain = self._find_domain(source)
+        domain = self._get_domain(source)
         if domain is None:
-            # Without its failure domain the report can't be judged.
+            # Answers are summed by failure domain, which is unknown for this sender.
             self._counters["answers_from_strangers"] += 1
             return
         self._pool.add_report(source, domain, sums, self._now_s())
 
-    def _find_domain(self, source: bytes) -> str | None:
+    def _get_domain(self, source: bytes) -> str | None:
         now_s = self._now_s()
-        if source not in self._domains and now_s - self._listed_s >= _LIST_INTERVAL_S:
+        if source not in self._domains and now_s - self._listed_s >= _RELIST_INTERVAL_S:
             self._listed_s = now_s
             self._domains = {
                 address: entry.failure_domain for address, entry in self._entries()
@@ -155,7 +160,7 @@
             for label, judgement in self._judgements.items()
         }
         self._evidence = self._pool.collect_evidence(now_s, fresh_s)
-        self._send_doubts(now_s)
+        self._send_doubtful_runs(now_s)
         if self._evidence or self._judgements:
             self._judge(now_s)
         self._send_weights(now_s)
@@ -200,13 +205,13 @@
             observers=evidence.observers,
         )
 
-    def _send_doubts(self, now_s: float) -> None:
-        if now_s - self._doubts_sent_s < _DOUBTS_INTERVAL_S:
+    def _send_doubtful_runs(self, now_s: float) -> None:
+        if now_s - self._doubtful_sent_s < _DOUBTFUL_SEND_INTERVAL_S:
             return
         pooled = self._pool.collect_doubtful(self._failure_domain, self._judgements)
         if not pooled.runs:
             return
-        self._doubts_sent_s = now_s
+        self._doubtful_sent_s = now_s
         message = RegistryMessage(pooled=pooled)
         for address in self._peers():
             self._send(message, address)
@@ -215,8 +220,8 @@
         weights = self._list_reduced_weights()
         is_new = weights != self._sent_weights
         if weights or is_new:
-            self._reduced_s = now_s
-        if now_s - self._reduced_s > _RECOVERY_RESEND_S:
+            self._last_reduced_s = now_s
+        if now_s - self._last_reduced_s > _RECOVERY_RESEND_S:
             return
         if not is_new and now_s - self._weights_sent_s < _RESEND_INTERVAL_S:
             return
@@ -249,7 +254,7 @@
         return self._judgements.get(label, UNJUDGED).quality
 
     def dump(self) -> list[dict[str, object]]:
-        """Return the state of each run that is not good, or recently was not.
+        """Return the state of each run that is not good, or was cleared recently.
 
         Returns
         -------
--- a/src/agatethread/registry/_report.py
+++ b/src/agatethread/registry/_report.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-#: Start time of a run that does not report it; before any reported one.
+#: Start time of a run that does not report it; sorts before any reported one.
 START_UNKNOWN = 0
 
 
@@ -15,7 +15,7 @@
     id : str
         Identifies the backend server; with `started_ms`, one run of it.
     number : int
-        64 bits that address it in datagrams.
+        64 bits that identify the backend server in datagrams.
     service : str
         The service it belongs to.
     address : bytes
@@ -29,7 +29,7 @@
     draining : bool
         Whether it accepts no further work.
     warm_up_s : float
-        Remaining time for which it is slow after its start.
+        Remaining warm-up time, in which it is slower than usual.
     started_ms : int
         Start of the run, Unix milliseconds by its own clock; `START_UNKNOWN` if it
         does not report it.
--- a/src/agatethread/registry/_run_logs.py
+++ b/src/agatethread/registry/_run_logs.py
@@ -1,4 +1,4 @@
-"""Logs state changes of runs, and reports and ends that were not accepted."""
+"""Logs state changes of runs, and status and end reports that were not accepted."""
 
 from agatethread.observability import Event, make_logger
 from agatethread.registry._admission import Verdict
@@ -21,7 +21,7 @@
     verdict : Verdict
         The reason.
     holder : RunEntry or None
-        The run of another id that holds its address.
+        The run of another id that holds the report's address.
     now_s : float
         Present time.
     """
@@ -36,7 +36,7 @@
 
 
 def log_ignored_end(run: BackendRun, started_ms: int) -> None:
-    """Log an end that does not apply to the known run.
+    """Log an end report that does not apply to the known run.
 
     Parameters
     ----------
@@ -53,8 +53,8 @@
     )
 
 
-def log_accepted_report(run: BackendRun, is_new: bool) -> None:
-    """Log a report that is sent to entry instances.
+def log_changed_run(run: BackendRun, is_new: bool) -> None:
+    """Log an accepted report that changes the run, and so is sent to entry instances.
 
     Parameters
     ----------
--- a/src/agatethread/registry/_runs.py
+++ b/src/agatethread/registry/_runs.py
@@ -12,8 +12,8 @@
     RUN_RETENTION_S,
     KnownRun,
     Verdict,
+    check_report,
     end_applies_to,
-    judge_report,
 )
 from agatethread.registry._entries import (
     RunEntry,
@@ -27,7 +27,7 @@
 )
 from agatethread.registry._report import START_UNKNOWN, Report
 from agatethread.registry._run_logs import (
-    log_accepted_report,
+    log_changed_run,
     log_ended,
     log_ignored_end,
     log_rejected_report,
@@ -136,7 +136,7 @@
     def _judge(self, report: Report) -> Verdict:
         holder = self._entries.get_address_holder(report.address, report.id)
         number_holder = self._entries.get_number_holder(report.number, report.id)
-        return judge_report(
+        return check_report(
             report,
             self._to_known(self._entries.get(report.id)),
             self._to_known(holder),
@@ -185,7 +185,7 @@
         run.warm_up_ms = warm_up_ms
         if changed:
             self._mark_changed(entry)
-            log_accepted_report(run, is_new)
+            log_changed_run(run, is_new)
         return changed
 
     def end_run(self, run_id: str, started_ms: int = START_UNKNOWN) -> bool:
--- a/src/agatethread/registry/_sightings.py
+++ b/src/agatethread/registry/_sightings.py
@@ -1,7 +1,9 @@
-"""Sums up the sightings of entry instances: runs that do not answer their flows.
+"""Sums the sightings of entry instances, to detect a silently failed run together.
 
-Handles a backend server that fails silently while each entry instance, which sees a
-small share of its flows, would alone need seconds to detect it.
+A sighting reports how many flows of an entry instance wait for a run, and for how long
+the run has not answered them; or, with no waiting flows, when the run last answered.
+Each entry instance has a small share of the flows of a run, and would alone need
+seconds to detect its failure.
 """
 
 from collections.abc import Iterable
@@ -10,15 +12,16 @@
 from agatethread.wire.registry_pb2 import Sighting, Sightings
 
 #: A sighting expires after this time without a repetition. Entry instances repeat it
-#: each 0.1 s until they regard the run as failed, and others may need it a bit longer.
+#: each 0.1 s until they regard the run as failed; others may detect it later.
 RETENTION_S = 0.6
 #: Runs in one message, those with the most waiting flows first.
 _MAX_RUNS = 16
 #: Below these numbers of flows and instances no receiver acts on a sighting.
 _MIN_WAITING = 3
 _MIN_OBSERVERS = 2
-#: A sum of another control instance, repeated each 0.1 s, expires after this time: one
-#: message may be lost, and its parts may be as old as `RETENTION_S` already.
+#: A sum of another control instance, repeated each 0.1 s, expires after this time,
+#: which covers the loss of one message. Short, since the summed sightings may be
+#: `RETENTION_S` old already.
 _SUM_RETENTION_S = 0.25
 
 
@@ -53,7 +56,7 @@
         failure_domain : str
             Where it runs.
         sightings : iterable of Sighting
-            Runs that it waits for, or got an answer from.
+            Runs that its flows wait for; `waiting` is 0 if the run answered.
         now_s : float
             Present time.
         """
@@ -71,21 +74,22 @@
         failure_domain : str
             Of that control instance.
         sightings : iterable of Sighting
-            As `sum_domain` returned them.
+            As `sum_domain_sightings` returned them.
         now_s : float
             Present time.
         """
         for sighting in sightings:
             by_source = self._by_label.setdefault(sighting.label, {})
             kind = "waiting" if sighting.waiting else "answered"
+            # One key per failure domain and kind, in place of an address.
             source = f"{failure_domain} {kind}".encode()
             by_source[source] = _StoredSighting(sighting, failure_domain, now_s, True)
 
-    def sum_domain(self, failure_domain: str, now_s: float) -> Sightings:
+    def sum_domain_sightings(self, failure_domain: str, now_s: float) -> Sightings:
         """Return the sums of the sightings of a failure domain's entry instances.
 
-        Handles dozens of entry instances that follow control instances of their own
-        failure domain only: other failure domains get one sum instead of each sighting.
+        Entry instances may follow control instances of their own failure domain only.
+        Other failure domains then get these sums instead of each sighting.
 
         Parameters
         ----------
@@ -111,7 +115,7 @@
         sums.sort(key=lambda sighting: -sighting.waiting)
         return Sightings(runs=sums[: 2 * _MAX_RUNS])
 
-    def digest(self, now_s: float) -> Sightings:
+    def sum_all(self, now_s: float) -> Sightings:
         """Return the sums over all sources of runs that flows wait for.
 
         Parameters
@@ -151,9 +155,11 @@
 def _sum_sightings(
     label: int, sightings: list[_StoredSighting], now_s: float
 ) -> Sighting:
-    waiting = _choose_larger([each for each in sightings if each.sighting.waiting])
+    waiting = _deduplicate_domains(
+        [each for each in sightings if each.sighting.waiting]
+    )
     answered = [each for each in sightings if not each.sighting.waiting]
-    # A sighting is not extrapolated: the silence may have ended since.
+    # A sighting is not extrapolated: the silence may have ended after it was received.
     silent_ms = max((each.sighting.silent_ms for each in waiting), default=0)
     # A single answer has precedence over all waiting flows.
     silent_ms = min(
@@ -168,7 +174,7 @@
     )
 
 
-def _choose_larger(waiting: list[_StoredSighting]) -> list[_StoredSighting]:
+def _deduplicate_domains(waiting: list[_StoredSighting]) -> list[_StoredSighting]:
     """Return each domain's sum or its single sightings, whichever has more flows.
 
     An entry instance that also follows control instances of other failure domains is
--- a/src/agatethread/registry/_traffic.py
+++ b/src/agatethread/registry/_traffic.py
@@ -3,7 +3,7 @@
 from agatethread.observability import Counters
 from agatethread.wire.registry_pb2 import Delta, Poll, RegistryMessage
 
-#: Addresses whose failure domain is stored; several times the largest deployment.
+#: Limit of stored addresses; several times the largest deployment.
 _MAX_ADDRESSES = 4_096
 
 
@@ -36,33 +36,34 @@
 
 
 def _name_delta(delta: Delta) -> str:
-    # A greeting, which replies to a probe, has neither runs nor numbers.
+    # A delta without runs and numbers replies to a probe, or is sent after a start.
     if delta.HasField("hub") or not (delta.runs or delta.reporting):
         return "reply"
     return "change" if delta.runs else "numbers"
 
 
 class TrafficCounter:
-    """Counts messages and bytes by purpose and place of the receiver.
+    """Counts messages and bytes by purpose and kind of the receiver.
 
-    The place is the receiver's role, ``control`` or ``entry``, with ``home`` for the
-    own failure domain or ``away`` for another; ``unknown`` before its first message.
+    The kind is the receiver's role, ``control`` or ``entry``, with ``home`` for the own
+    failure domain or ``away`` for another; ``unknown`` before a message from or about
+    the receiver.
 
     Parameters
     ----------
     failure_domain : str
         Of this process.
     counters : Counters
-        Counts ``sent_<purpose>_<place>`` and ``sent_bytes_<purpose>_<place>``.
+        Counts ``sent_<purpose>_<kind>`` and ``sent_bytes_<purpose>_<kind>``.
     """
 
     def __init__(self, failure_domain: str, counters: Counters):
         self._failure_domain = failure_domain
         self._counters = counters
-        self._places: dict[bytes, str] = {}
+        self._receiver_kinds: dict[bytes, str] = {}
 
-    def store_places(self, message: RegistryMessage, source: bytes) -> None:
-        """Store the places of instances that a received message names.
+    def store_receiver_kinds(self, message: RegistryMessage, source: bytes) -> None:
+        """Store the role and failure domain of instances that a message names.
 
         Parameters
         ----------
@@ -73,23 +74,28 @@
         """
         body = message.WhichOneof("body")
         if body == "poll":
-            self._store_place(
+            self._store_receiver_kind(
                 source, message.poll.failure_domain, message.poll.is_control
             )
         elif body == "delta":
-            self._store_place(source, message.delta.failure_domain, True)
+            self._store_receiver_kind(source, message.delta.failure_domain, True)
             for dispatchers in message.delta.hub.dispatchers:
                 for address in dispatchers.addresses:
-                    self._store_place(address, dispatchers.failure_domain, False)
+                    self._store_receiver_kind(
+                        address, dispatchers.failure_domain, False
+                    )
 
-    def _store_place(
+    def _store_receiver_kind(
         self, address: bytes, failure_domain: str, is_control: bool
     ) -> None:
-        if len(self._places) >= _MAX_ADDRESSES and address not in self._places:
+        if (
+            len(self._receiver_kinds) >= _MAX_ADDRESSES
+            and address not in self._receiver_kinds
+        ):
             return
         role = "control" if is_control else "entry"
-        place = "home" if failure_domain == self._failure_domain else "away"
-        self._places[address] = f"{role}_{place}"
+        distance = "home" if failure_domain == self._failure_domain else "away"
+        self._receiver_kinds[address] = f"{role}_{distance}"
 
     def count(self, purpose: str, size_bytes: int, target: bytes) -> None:
         """Count a sent message.
@@ -103,6 +109,6 @@
         target : bytes
             Packed address of the receiver.
         """
-        place = self._places.get(target, "unknown")
-        self._counters[f"sent_{purpose}_{place}"] += 1
-        self._counters[f"sent_bytes_{purpose}_{place}"] += size_bytes
+        kind = self._receiver_kinds.get(target, "unknown")
+        self._counters[f"sent_{purpose}_{kind}"] += 1
+        self._counters[f"sent_bytes_{purpose}_{kind}"] += size_bytes
--- a/src/agatethread/registry/_transport.py
+++ b/src/agatethread/registry/_transport.py
@@ -1,7 +1,7 @@
 """Sends and receives registry messages over one datagram socket.
 
-Datagrams instead of connections, since a connection may hang unnoticed, and all
-messages are repeated until they are acknowledged.
+Messages may be lost or reordered. Senders repeat them until they are acknowledged, or
+at a fixed interval.
 """
 
 from collections.abc import Callable
@@ -69,7 +69,8 @@
         self._counters = counters
         self._traffic = TrafficCounter(failure_domain, counters)
         self._send = send_or_count(self._socket, counters)
-        #: A message is usually sent to many receivers in turn, and is serialized once.
+        #: Serialized once if it is sent to several receivers in turn; callers must not
+        #: change a message after sending it.
         self._last_message: RegistryMessage | None = None
         self._last_data = b""
         self._last_purpose = ""
@@ -85,7 +86,7 @@
 
         def on_datagram(data: bytes, source: tuple[str, int]) -> None:
             message, sender = decode_message(data), pack_address(source)
-            self._traffic.store_places(message, sender)
+            self._traffic.store_receiver_kinds(message, sender)
             handler(message, sender)
 
         start_reading(
--- a/tests/datapath/test_sightings.py
+++ b/tests/datapath/test_sightings.py
@@ -174,7 +174,7 @@
             self.pool.store_sightings(
                 bytes([number]), "abc"[number % 3], sightings, now_s
             )
-        digest = self.pool.digest(now_s)
+        digest = self.pool.sum_all(now_s)
         for play in self.plays:
             play.forwarder.sighting_exchange.receive(digest)
 
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -53,7 +53,7 @@
         table.apply(replace(previous, incarnation=9))
         self.assertFalse(table.is_alive(previous.ref))
 
-    def test_ignores_death_based_on_older_state(self):
+    def test_does_not_declare_changed_member_dead(self):
         """A member is not declared dead if its state has changed since."""
         table = fleet_table(2)
         suspected = replace(member(2), state=MemberState.SUSPECT)
@@ -152,7 +152,9 @@
         }
 
     def live(self, number):
-        return sorted(int(m.name.split("-")[1]) for m in self.tables[number].live())
+        return sorted(
+            int(m.name.split("-")[1]) for m in self.tables[number].list_live()
+        )
 
 
 class TestProber(unittest.TestCase):
@@ -219,7 +221,7 @@
         self.run_fleet(scenario)
 
     def test_groups_that_started_separately_join(self):
-        """Instances whose first join to the other seed was lost retry it."""
+        """Instances whose first join message to a seed was lost send it again."""
 
         async def scenario(fleet):
             self.assertEqual((fleet.live(1), fleet.live(3)), ([1, 2], [3, 4]))
--- a/tests/registry/test_admission.py
+++ b/tests/registry/test_admission.py
@@ -5,8 +5,8 @@
     RUN_RETENTION_S,
     KnownRun,
     Verdict,
+    check_report,
     end_applies_to,
-    judge_report,
 )
 from agatethread.wire.registry_pb2 import BackendRun
 from tests.fakes import address
@@ -31,14 +31,14 @@
 
 def check(new_report: Report, known_run=None, holder=None, same_number_run=None):
     """Return the verdict on a report."""
-    return judge_report(
+    return check_report(
         new_report, known_run, holder, same_number_run, HOLDER_TIMEOUT_S
     )
 
 
-class TestJudgeReport(unittest.TestCase):
+class TestCheckReport(unittest.TestCase):
     def test_start_time_has_precedence_over_sequence(self):
-        """A later start is accepted with any sequence number, an earlier one never."""
+        """Start times are compared first; sequence numbers only within a run."""
         later = report(started_ms=5_001, sequence=1)
         self.assertIs(check(later, make_known()), Verdict.STARTS)
         earlier = report(started_ms=4_999, sequence=999)
@@ -56,7 +56,7 @@
         )
 
     def test_rejects_missing_start_time_where_one_is_known(self):
-        """A backend server that reports its start time always does."""
+        """A report without a start time is refused if the known run has one."""
         self.assertIs(check(report(sequence=11), make_known()), Verdict.CONTRADICTS)
         without_start = make_known(started_ms=0)
         self.assertIs(check(report(sequence=11), without_start), Verdict.CONTINUES)
@@ -82,7 +82,7 @@
             self.assertIs(check(other, make_known(**state)), Verdict.STARTS)
 
     def test_later_start_takes_over_the_address(self):
-        """Of two ids at one address the one that started later is live."""
+        """An earlier start gets the address only after the retention time."""
         holder = make_known(id="i-2", last_report_age_s=0.0)
         later = report(started_ms=5_001)
         earlier = report(started_ms=4_999, sequence=999)
@@ -111,15 +111,15 @@
         self.assertIs(check(report(), same_number_run=ended), Verdict.STARTS)
 
 
-class TestEndIsOf(unittest.TestCase):
+class TestEndAppliesTo(unittest.TestCase):
     def test_end_with_start_time_applies_to_that_and_earlier_runs(self):
-        """A later run than the one that ended goes on."""
+        """An end report doesn't apply to a run that started later."""
         run = make_known().run
         for started_ms, expected in ((4_999, False), (5_000, True), (5_001, True)):
             self.assertEqual(end_applies_to(run, started_ms), expected)
 
     def test_end_without_start_time_applies_to_draining_run(self):
-        """A backend server drains before it ends, so it does not mean another run."""
+        """A run drains before it ends, so a draining run is the one that ended."""
         self.assertFalse(end_applies_to(make_known().run, 0))
         self.assertTrue(end_applies_to(make_known(draining=True).run, 0))
         self.assertTrue(end_applies_to(make_known(started_ms=0).run, 0))
--- a/tests/registry/test_answers.py
+++ b/tests/registry/test_answers.py
@@ -36,7 +36,7 @@
         )
 
     def test_deletes_expired_reports(self):
-        """A report leaves the newest part first, then the window."""
+        """A report expires from the recent part first, then from the window."""
         self.add_report(b"1", (7, 3, 1, 0))
         self.assertEqual(
             self.pool.collect_evidence(10.0 + RECENT_S)[7].recent.answers, 0
@@ -75,8 +75,8 @@
         self.other.store_pooled(b"pool", messages[0], now_s)
         return [len(message.runs) for message in messages]
 
-    def test_sends_doubtful_runs_and_replies_to_doubts(self):
-        """A control instance without doubts sends its sums only of doubted runs."""
+    def test_replies_with_sums_of_runs_doubted_by_others(self):
+        """A control instance sends sums only of runs doubted here or at another one."""
         self.add_report(b"1", (7, 3, 3, 0), (8, 9, 0, 0))
         self.add_report(b"2", (7, 3, 0, 0), (8, 9, 0, 0), domain="b", pool=self.other)
         self.assertEqual(self.exchange(10.1), [1, 0])
@@ -86,8 +86,8 @@
             self.assertEqual((evidence.window.answers, evidence.window.bad), (6, 3))
             self.assertEqual((evidence.domains, evidence.bad_domains), (2, 1))
 
-    def test_reply_to_a_doubt_raises_no_doubt(self):
-        """The exchange stops when neither control instance has doubts itself."""
+    def test_reply_does_not_mark_run_as_doubted(self):
+        """The exchange stops when neither control instance doubts the run itself."""
         self.add_report(b"1", (7, 3, 3, 0))
         self.add_report(b"2", (7, 3, 0, 0), domain="b", pool=self.other)
         self.exchange(10.1)
--- a/tests/registry/test_dispatchers.py
+++ b/tests/registry/test_dispatchers.py
@@ -5,7 +5,7 @@
 from agatethread.registry._dispatchers import (
     choose_for_domain,
     count_slots,
-    list_serving_at_peers,
+    list_serving_at_other_controls,
 )
 from agatethread.registry._subscribers import Subscriber
 from agatethread.wire.registry_pb2 import (
@@ -52,7 +52,7 @@
 
 class TestChoice(unittest.TestCase):
     def test_chooses_only_serving_instances_of_the_domain(self):
-        """Instances of other domains, leaving or timed out are not chosen."""
+        """Instances that are leaving, timed out or in other domains are not chosen."""
         entries = [(address(n), entry()) for n in range(1, 9)]
         entries += [
             (address(20), entry("b")),
@@ -75,8 +75,8 @@
                 [place for place, _ in others],
                 1_000.0,
             )
-            at_peers = list_serving_at_peers("a", [peer], 1_000.0)
-            chosen.append(choose_for_domain("a", own, 60, 1_000.0, at_peers))
+            at_other_controls = list_serving_at_other_controls("a", [peer], 1_000.0)
+            chosen.append(choose_for_domain("a", own, 60, 1_000.0, at_other_controls))
         self.assertEqual(chosen[0], chosen[1])
         self.assertEqual(chosen[0].entry_count, 16)
 
@@ -124,7 +124,7 @@
             "a", lambda: entries, lambda: runs, lambda: links, clock
         )
 
-    def test_forwards_only_own_choice_of_other_control_instances(self):
+    def test_forwards_dispatchers_only_from_control_of_their_domain(self):
         """Control instances don't forward to each other what a failed one reported."""
         clock = Clock(1_000.0)
         directory = self.make([link(1, "c", c=[31], b=[21])], clock)
--- a/tests/registry/test_evacuations.py
+++ b/tests/registry/test_evacuations.py
@@ -60,13 +60,13 @@
         self.assertEqual(world.evacuated, [{"b"}])
 
     def test_first_table_includes_evacuations(self):
-        """A lost evacuation message does not leave a first table without them."""
+        """The first table has the evacuations, in case their own message was lost."""
         world = World(("a",))
         world.evacuate(7, "b")
-        offer = compressed_table(9)
-        offer.evacuations.CopyFrom(world.publishers[address(0)].newest)
+        table = compressed_table(9)
+        table.evacuations.CopyFrom(world.publishers[address(0)].newest)
         world.hub(0).greet([KnownEntry(world.entry_address, "a")])
-        world.hub(0).offer_routes(offer)
+        world.hub(0).offer_routes(table)
         world.deliver()
         self.assertEqual(world.entry.routes_version, 9)
         self.assertEqual(world.evacuated, [{"b"}])
@@ -154,7 +154,7 @@
 
     @rule()
     def heal(self):
-        """Without faults the newest evacuations are in force after the steps below."""
+        """Without faults the newest evacuations are in force after 20 steps."""
         self.world.cut, self.world.loss = set(), 0.0
         self.world.evacuate(self.version, *sorted(self.domains))
         self.world.step(20)
@@ -170,15 +170,15 @@
         assert self.world.entry._evacuations.version <= max(versions)
 
 
-class HomeEvacuationMachine(EvacuationMachine):
-    """Same, where the entry instance may follow its own failure domain only."""
+class OwnDomainEvacuationMachine(EvacuationMachine):
+    """Like `EvacuationMachine`; the entry may follow its own domain only."""
 
     layout = ("a", "a", "b", "b", "c", "c")
 
 
 TestEvacuationMachine = EvacuationMachine.TestCase
-TestHomeEvacuationMachine = HomeEvacuationMachine.TestCase
-TestHomeEvacuationMachine.settings = settings(
+TestOwnDomainEvacuationMachine = OwnDomainEvacuationMachine.TestCase
+TestOwnDomainEvacuationMachine.settings = settings(
     max_examples=30, stateful_step_count=20, deadline=None
 )
 TestEvacuationMachine.settings = settings(
--- a/tests/registry/test_quality.py
+++ b/tests/registry/test_quality.py
@@ -18,7 +18,7 @@
     def setUp(self):
         self.clock, self.counters, self.sent = Clock(), Counters(), []
         entry = SimpleNamespace(failure_domain="a")
-        self.keeper = QualityMonitor(
+        self.monitor = QualityMonitor(
             "a",
             lambda: RUNS,
             lambda: [(address(100 + nth), entry) for nth in range(4)],
@@ -38,8 +38,8 @@
                     for number, label in enumerate(LABELS)
                 ]
                 message = RegistryMessage(answers=sums(*runs))
-                self.keeper.on_message(message, address(100 + nth))
-            self.keeper.tick()
+                self.monitor.on_message(message, address(100 + nth))
+            self.monitor.tick()
 
     def weights_sent_to(self, target=ENTRY):
         """Return the weights sent to an entry instance, message by message."""
@@ -82,11 +82,11 @@
         self.assertTrue(messages[-1].runs[0].doubted)
 
     def test_service_slow_as_a_whole_keeps_its_weights(self):
-        """Where half of the answers of every run are slow, that is usual."""
+        """If half of the answers of every run are slow, no run is judged bad."""
         self.simulate(4.0, slow=set(range(12)), good=1)
         self.assertEqual(self.weights_sent_to(), [])
 
-    def test_at_most_a_third_of_a_service_loses_its_weight(self):
+    def test_at_most_a_third_of_the_runs_of_a_service_lose_their_weight(self):
         """Of twelve runs five are slow; only four lose their weight."""
         self.simulate(2.0, slow=set(range(5)))
         self.assertEqual(max(self.count_ejected()), 4)
@@ -104,22 +104,22 @@
 
     def test_ignores_unknown_senders(self):
         """Reports of unknown entry instances and control instances are ignored."""
-        self.keeper.on_message(
+        self.monitor.on_message(
             RegistryMessage(answers=sums((1, 9, 9, 0))), UNKNOWN_SENDER
         )
         self.assertEqual(self.counters["answers_from_strangers"], 1)
         pooled = RegistryMessage()
         pooled.pooled.runs.add(label=LABELS[3], answers=9, slow=9, observers=4)
-        self.keeper.on_message(pooled, UNKNOWN_SENDER)
-        self.keeper.tick()
-        self.assertEqual(self.keeper.dump(), [])
+        self.monitor.on_message(pooled, UNKNOWN_SENDER)
+        self.monitor.tick()
+        self.assertEqual(self.monitor.dump(), [])
 
     def test_draining_run_is_not_judged(self):
         """A run that drains is left out of the judgement."""
         self.simulate(1.0)
         self.simulate(1.0, slow={3})
-        self.assertIsNot(self.keeper.get_quality(LABELS[3]), Quality.GOOD)
+        self.assertIsNot(self.monitor.get_quality(LABELS[3]), Quality.GOOD)
         RUNS[3].draining = True
         self.addCleanup(RUNS[3].ClearField, "draining")
         self.simulate(0.2, slow={3})
-        self.assertIs(self.keeper.get_quality(LABELS[3]), Quality.GOOD)
+        self.assertIs(self.monitor.get_quality(LABELS[3]), Quality.GOOD)
--- a/tests/registry/test_sightings.py
+++ b/tests/registry/test_sightings.py
@@ -17,7 +17,7 @@
         self.pool.store_sightings(source, domain, [sighting(**fields)], now_s)
 
     def digest(self, now_s=10.0):
-        return list(self.pool.digest(now_s).runs)
+        return list(self.pool.sum_all(now_s).runs)
 
     def test_sums_sightings_of_all_entry_instances(self):
         """Flows, instances and failure domains are counted, each instance once."""
@@ -61,7 +61,7 @@
             self.store(b"2", label=label, waiting=label)
         runs = self.digest()
         self.assertEqual([each.label for each in runs], list(range(199, 183, -1)))
-        self.assertLess(self.pool.digest(10.0).ByteSize(), 300)
+        self.assertLess(self.pool.sum_all(10.0).ByteSize(), 300)
 
     def test_digest_omits_runs_below_the_thresholds(self):
         """Too few flows, a single instance, and answers alone are left out."""
--- a/tests/registry/test_sums.py
+++ b/tests/registry/test_sums.py
@@ -14,42 +14,42 @@
 )
 
 
-def by_label(digest):
+def by_label(sums):
     """Return sightings by label; runs with equally many flows have no set order."""
-    return {each.label: each.SerializeToString() for each in digest.runs}
+    return {each.label: each.SerializeToString() for each in sums.runs}
 
 
 class TestSums(unittest.TestCase):
     @given(
         st.lists(st.tuples(st.integers(1, 6), st.sampled_from("ab"), sighting_strategy))
     )
-    def test_sums_give_the_same_digest_as_single_sightings(self, sightings):
+    def test_sums_give_the_same_result_as_single_sightings(self, sightings):
         """A pool with the other domain's sums equals one with all sightings."""
-        whole, home, away = SightingPool(), SightingPool(), SightingPool()
+        all_domains, own, remote = SightingPool(), SightingPool(), SightingPool()
         for number, domain, sighting in sightings:
             source = f"{domain}{number}".encode()
-            whole.store_sightings(source, domain, [sighting], 10.0)
-            pool = home if domain == "a" else away
+            all_domains.store_sightings(source, domain, [sighting], 10.0)
+            pool = own if domain == "a" else remote
             pool.store_sightings(source, domain, [sighting], 10.0)
-        home.store_sums("b", away.sum_domain("b", 10.0).runs, 10.0)
-        self.assertEqual(*(by_label(pool.digest(10.0)) for pool in (home, whole)))
+        own.store_sums("b", remote.sum_domain_sightings("b", 10.0).runs, 10.0)
+        self.assertEqual(*(by_label(pool.sum_all(10.0)) for pool in (own, all_domains)))
 
     def test_counts_instance_in_sum_and_direct_sighting_once(self):
         """An entry instance may be part of a sum and send its sightings directly."""
-        home, away = SightingPool(), SightingPool()
+        own, remote = SightingPool(), SightingPool()
         for number in range(3):
             sighting = Sighting(label=1, waiting=2, silent_ms=500)
-            away.store_sightings(b"%d" % number, "b", [sighting], 10.0)
-        home.store_sightings(
+            remote.store_sightings(b"%d" % number, "b", [sighting], 10.0)
+        own.store_sightings(
             b"1", "b", [Sighting(label=1, waiting=2, silent_ms=500)], 10.0
         )
-        home.store_sums("b", away.sum_domain("b", 10.0).runs, 10.0)
-        (total,) = home.digest(10.0).runs
+        own.store_sums("b", remote.sum_domain_sightings("b", 10.0).runs, 10.0)
+        (total,) = own.sum_all(10.0).runs
         self.assertEqual((total.waiting, total.observers, total.domains), (6, 3, 1))
 
     def test_deletes_sum_that_is_not_repeated(self):
         """A sum expires sooner than a sighting, since its parts are older."""
-        home = SightingPool()
-        home.store_sums("b", [Sighting(label=1, waiting=9, observers=4)], 10.0)
-        self.assertEqual(len(home.digest(10.2).runs), 1)
-        self.assertEqual(len(home.digest(10.4).runs), 0)
+        own = SightingPool()
+        own.store_sums("b", [Sighting(label=1, waiting=9, observers=4)], 10.0)
+        self.assertEqual(len(own.sum_all(10.2).runs), 1)
+        self.assertEqual(len(own.sum_all(10.4).runs), 0)
--- a/tests/registry/test_traffic.py
+++ b/tests/registry/test_traffic.py
@@ -33,25 +33,25 @@
         for purpose, message in expected.items():
             self.assertEqual(name_purpose(message), purpose)
 
-    def test_counts_by_reported_place_of_receiver(self):
+    def test_counts_by_reported_kind_of_receiver(self):
         """Counts are separate by role and failure domain, and for unknown receivers."""
         poll = Poll(failure_domain="b", is_control=True)
-        self.traffic.store_places(RegistryMessage(poll=poll), address(1))
-        self.traffic.store_places(
+        self.traffic.store_receiver_kinds(RegistryMessage(poll=poll), address(1))
+        self.traffic.store_receiver_kinds(
             RegistryMessage(poll=Poll(failure_domain="a")), address(2)
         )
         dispatchers = Dispatchers(failure_domain="b", addresses=[address(3)])
         delta = Delta(failure_domain="a", hub=HubState(dispatchers=[dispatchers]))
-        self.traffic.store_places(RegistryMessage(delta=delta), address(4))
-        places = "control_away", "entry_home", "entry_away", "control_home", "unknown"
-        for number, place in enumerate(places, 1):
+        self.traffic.store_receiver_kinds(RegistryMessage(delta=delta), address(4))
+        kinds = "control_away", "entry_home", "entry_away", "control_home", "unknown"
+        for number, kind in enumerate(kinds, 1):
             self.traffic.count("poll", 10 * number, address(number))
-            self.assertEqual(self.counters[f"sent_poll_{place}"], 1)
-            self.assertEqual(self.counters[f"sent_bytes_poll_{place}"], 10 * number)
+            self.assertEqual(self.counters[f"sent_poll_{kind}"], 1)
+            self.assertEqual(self.counters[f"sent_bytes_poll_{kind}"], 10 * number)
 
     def test_limits_stored_addresses(self):
         """Messages of any number of senders use bounded memory."""
         for number in range(5_000):
             message = RegistryMessage(poll=Poll(failure_domain="b"))
-            self.traffic.store_places(message, address(number))
-        self.assertLessEqual(len(self.traffic._places), 4_096)
+            self.traffic.store_receiver_kinds(message, address(number))
+        self.assertLessEqual(len(self.traffic._receiver_kinds), 4_096)
