--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -180,7 +180,7 @@
                 _URGENT_INTERVAL_S, self.subscription.probe_if_unreachable
             )
         self.timers.subscribe(_FLUSH_INTERVAL_S, self.hub.flush)
-        self.timers.subscribe(_FLUSH_INTERVAL_S, self._evacuations.publish)
+        self.timers.subscribe(_FLUSH_INTERVAL_S, self._evacuations.send_unacknowledged)
         self.timers.subscribe(_SWEEP_INTERVAL_S, self.runs.sweep)
         self.timers.subscribe(_SIGHTINGS_INTERVAL_S, self.hub.send_sightings)
         if self.settings.parts.relays_openings:
--- a/src/agatethread/datapath/_instance.py
+++ b/src/agatethread/datapath/_instance.py
@@ -17,7 +17,7 @@
 from agatethread.datapath._readiness import Readiness
 from agatethread.observability import Counters, Event, Metrics, make_logger
 from agatethread.registry import (
-    ReceivedEvacuations,
+    EvacuationReceiver,
     RegistryTransport,
     Subscription,
     are_other_domains_unreachable,
@@ -182,7 +182,7 @@
             self.view.update_run,
             self._on_routes,
             counters,
-            ReceivedEvacuations(self.view.set_evacuations),
+            EvacuationReceiver(self.view.set_evacuations),
         )
         if settings.parts.relays_openings:
             self.forwarder.shared_placing = make_shared_placing(
--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -206,13 +206,13 @@
         # instance places its first flow.
         await self.sleep(self.settings.entry.warm_up_s)
         if self.members.own_member.joining:
-            self.members.update_own_state(joining=False)
+            self.members.update_own_member(joining=False)
 
     async def leave(self) -> None:
         """Stop gracefully: refuse queued requests and finish running operations."""
         log.info("leaving", operations=self.requests.running_count)
         self._is_leaving = True
-        self.members.update_own_state(state=MemberState.LEAVING)
+        self.members.update_own_member(state=MemberState.LEAVING)
         self.requests.refuse_queued()
         self.prober.send_own_state()
 
@@ -317,11 +317,11 @@
         drained = self.settings.name in self.document_store.drained
         state = self.members.own_member.state
         if drained and state == MemberState.ALIVE:
-            self.members.update_own_state(state=MemberState.LEAVING)
+            self.members.update_own_member(state=MemberState.LEAVING)
             self.requests.refuse_queued()
             self.prober.send_own_state()
         elif not drained and state == MemberState.LEAVING and not self._is_leaving:
-            self.members.update_own_state(state=MemberState.ALIVE)
+            self.members.update_own_member(state=MemberState.ALIVE)
             self.prober.send_own_state()
 
     async def _initialize_member(self, member: Member) -> None:
--- a/src/agatethread/membership/_members.py
+++ b/src/agatethread/membership/_members.py
@@ -140,7 +140,7 @@
         self._store(member)
         return True
 
-    def update_own_state(self, **changes: object) -> None:
+    def update_own_member(self, **changes: object) -> None:
         """Change this instance's own state and queue it for gossip.
 
         Parameters
@@ -181,7 +181,7 @@
         # A higher incarnation of the own name usually means that the clock was set back
         # between two starts; the present incarnation must be the highest.
         if member.incarnation > self.own_member.incarnation:
-            self.update_own_state(incarnation=member.incarnation + 1)
+            self.update_own_member(incarnation=member.incarnation + 1)
             return True
 
         counter = max(member.counter, self.own_member.counter)
@@ -266,12 +266,12 @@
             member.failure_domain == failure_domain for member in self.list_live()
         )
 
-    def rank(self, service: int, count: int = 2) -> tuple[Member, ...]:
+    def rank(self, service_hash: int, count: int = 2) -> tuple[Member, ...]:
         """Return the instances that may dispatch for a service, by rank.
 
         Parameters
         ----------
-        service : int
+        service_hash : int
             Hash of the service's name.
         count : int, default=2
             Most instances to return.
@@ -283,16 +283,16 @@
             instances are ranked only if there are no others.
         """
         names = self._joined_ring.find_owners(
-            service, count
-        ) or self._joining_ring.find_owners(service, count)
+            service_hash, count
+        ) or self._joining_ring.find_owners(service_hash, count)
         return tuple(self.members[name] for name in names)
 
-    def is_dispatcher(self, service: int) -> bool:
+    def is_dispatcher(self, service_hash: int) -> bool:
         """Return whether this instance dispatches for a service now.
 
         Parameters
         ----------
-        service : int
+        service_hash : int
             Hash of the service's name.
 
         Returns
@@ -300,7 +300,7 @@
         bool
             According to this instance's table.
         """
-        ranked = self.rank(service, 1)
+        ranked = self.rank(service_hash, 1)
         return bool(ranked) and ranked[0].name == self.own_member.name
 
     def _update_rings(self, member: Member) -> None:
--- a/src/agatethread/membership/_prober.py
+++ b/src/agatethread/membership/_prober.py
@@ -14,7 +14,9 @@
 _MAX_UPDATES_PER_DATAGRAM = 6
 #: Updates in the reply to a join, which fits one datagram.
 _MAX_JOIN_UPDATES = 16
+#: Members asked to probe one that did not answer this instance.
 _INDIRECT_PROBE_COUNT = 2
+#: Time between joins through a dead member, or a seed that is not a member.
 _REJOIN_INTERVAL_S = 0.5
 #: A sleep that is longer by this time means that the process was suspended.
 _MAX_OVERSLEEP_S = 0.8
@@ -25,7 +27,7 @@
 
 
 class Prober(Service):
-    """Probes one other instance each interval, at a cost independent of fleet size.
+    """Probes one other instance each interval, at a cost independent of their number.
 
     Parameters
     ----------
@@ -70,7 +72,7 @@
         table.subscribe(self._on_change)
 
     async def on_start(self) -> None:
-        """Join the fleet and start probing."""
+        """Join the other instances and start probing."""
         self._join_all()
         self._timers.subscribe(self._interval_s, self._start_probe)
         self._timers.subscribe(_REJOIN_INTERVAL_S, self._rejoin)
--- a/src/agatethread/membership/_ring.py
+++ b/src/agatethread/membership/_ring.py
@@ -15,7 +15,7 @@
     """Hash ring of the instances that may dispatch.
 
     A look-up is a binary search and a change moves a few points, so the cost of both
-    depends little on the size of the fleet.
+    depends little on the number of instances.
     """
 
     def __init__(self) -> None:
--- a/src/agatethread/registry/__init__.py
+++ b/src/agatethread/registry/__init__.py
@@ -2,7 +2,7 @@
 
 from agatethread.registry._control_link import ControlLink
 from agatethread.registry._dispatchers import DispatcherDirectory, merge_dispatchers
-from agatethread.registry._evacuations import EvacuationPublisher, ReceivedEvacuations
+from agatethread.registry._evacuations import EvacuationPublisher, EvacuationReceiver
 from agatethread.registry._hints import Hints, KnownEntry, load_hints, save_hints
 from agatethread.registry._labels import derive_label
 from agatethread.registry._presence import UNKNOWN_RANK, DomainView, EntryRank
@@ -29,7 +29,7 @@
     "Hints",
     "ControlLink",
     "KnownEntry",
-    "ReceivedEvacuations",
+    "EvacuationReceiver",
     "EntryRank",
     "QualityMonitor",
     "RegistryPublisher",
--- a/src/agatethread/registry/_admission.py
+++ b/src/agatethread/registry/_admission.py
@@ -18,9 +18,9 @@
                             refused (`CONTRADICTS`)
 ==========================  =================================================
 
-A new run is also refused if a live run of another id has its number, or if another run
-holds its address. `RunTable` also refuses a report without a start time if most live
-runs report theirs.
+A new run is also refused if a live run of another id has its number, and not accepted
+while another run holds its address. `RunTable` also refuses a new run of a service that
+is not configured, and a report without a start time if most live runs report theirs.
 
 Start times come from the backend servers' own clocks. If a clock is set back between
 two starts, the second run is not accepted until the first has not reported for
@@ -38,7 +38,7 @@
 RUN_RETENTION_S = 180.0
 
 
-class Verdict(Enum):
+class ReportVerdict(Enum):
     """Outcome of checking a report; the value is the reason in logs and errors.
 
     `OUTDATED` is returned for a sequence number that is not higher than the known one,
@@ -56,11 +56,11 @@
 
     @property
     def is_refusal(self) -> bool:
-        """Whether the report is invalid, not only outdated or early."""
+        """Whether the sender gets an error; other reports not accepted are ignored."""
         return self in (
-            Verdict.CONTRADICTS,
-            Verdict.UNKNOWN_SERVICE,
-            Verdict.START_MISSING,
+            ReportVerdict.CONTRADICTS,
+            ReportVerdict.UNKNOWN_SERVICE,
+            ReportVerdict.START_MISSING,
         )
 
 
@@ -86,7 +86,7 @@
     address_holder: KnownRun | None,
     same_number_run: BackendRun | None,
     holder_timeout_s: float,
-) -> Verdict:
+) -> ReportVerdict:
     """Return whether a report is accepted, and as what.
 
     Parameters
@@ -106,40 +106,40 @@
 
     Returns
     -------
-    Verdict
+    ReportVerdict
         The outcome.
     """
     if known_run is not None:
         verdict = _compare_with_known(report, known_run)
-        if verdict is not Verdict.STARTS:
+        if verdict is not ReportVerdict.STARTS:
             return verdict
     if same_number_run is not None and is_live(same_number_run):
-        return Verdict.CONTRADICTS
+        return ReportVerdict.CONTRADICTS
     if address_holder is not None and not _loses_address(
         address_holder, report, holder_timeout_s
     ):
-        return Verdict.ADDRESS_HELD
-    return Verdict.STARTS
+        return ReportVerdict.ADDRESS_HELD
+    return ReportVerdict.STARTS
 
 
-def _compare_with_known(report: Report, known_run: KnownRun) -> Verdict:
+def _compare_with_known(report: Report, known_run: KnownRun) -> ReportVerdict:
     run = known_run.run
     if report.started_ms < run.started_ms:
         if known_run.last_report_age_s >= RUN_RETENTION_S:
-            return Verdict.STARTS
+            return ReportVerdict.STARTS
         if report.started_ms == START_UNKNOWN:
-            return Verdict.CONTRADICTS
-        return Verdict.EARLIER_RUN
+            return ReportVerdict.CONTRADICTS
+        return ReportVerdict.EARLIER_RUN
     if report.started_ms > run.started_ms:
         changes_service = is_live(run) and report.service != run.service
-        return Verdict.CONTRADICTS if changes_service else Verdict.STARTS
+        return ReportVerdict.CONTRADICTS if changes_service else ReportVerdict.STARTS
     if run.ended:
-        return Verdict.OUTDATED
+        return ReportVerdict.OUTDATED
     if _fixed_fields_differ(report, run):
-        return Verdict.CONTRADICTS
+        return ReportVerdict.CONTRADICTS
     if report.sequence <= run.sequence:
-        return Verdict.OUTDATED
-    return Verdict.CONTINUES
+        return ReportVerdict.OUTDATED
+    return ReportVerdict.CONTINUES
 
 
 def is_live(run: BackendRun) -> bool:
--- a/src/agatethread/registry/_answers.py
+++ b/src/agatethread/registry/_answers.py
@@ -63,7 +63,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _PeerSums:
+class _ControlSums:
     received_s: float
     failure_domain: str
     by_label: dict[int, PooledAnswer]
@@ -91,7 +91,7 @@
 
     def __init__(self) -> None:
         self._reports: dict[int, deque[_SourceReport]] = {}
-        self._peers: dict[bytes, _PeerSums] = {}
+        self._controls: dict[bytes, _ControlSums] = {}
         self._reporters: dict[bytes, float] = {}
         #: Latest sums of the reports to this instance, by label.
         self._own_sums: dict[int, _RunSums] = {}
@@ -99,12 +99,12 @@
     def add_report(
         self, source: bytes, failure_domain: str, sums: AnswerSums, now_s: float
     ) -> None:
-        """Store what an entry instance saw since its previous report.
+        """Store the answers that an entry instance counted since its previous report.
 
         Parameters
         ----------
         source : bytes
-            Its packed address.
+            Packed address of the entry instance.
         failure_domain : str
             Where it runs.
         sums : AnswerSums
@@ -131,7 +131,7 @@
             Present time.
         """
         by_label = {answer.label: answer for answer in pooled.runs}
-        self._peers[source] = _PeerSums(now_s, pooled.failure_domain, by_label)
+        self._controls[source] = _ControlSums(now_s, pooled.failure_domain, by_label)
 
     def list_reporters(self, now_s: float) -> list[bytes]:
         """Return the entry instances that report to this instance.
@@ -183,8 +183,8 @@
             for label, reports in self._reports.items()
         }
         labels = set(self._own_sums)
-        for peer in self._peers.values():
-            labels.update(peer.by_label)
+        for control in self._controls.values():
+            labels.update(control.by_label)
         return {label: self._merge(label) for label in labels}
 
     def _delete_expired(self, now_s: float) -> None:
@@ -195,10 +195,10 @@
             if not reports:
                 del self._reports[label]
         oldest_s = now_s - _CONTROL_SUMS_RETENTION_S
-        self._peers = {
-            source: peer
-            for source, peer in self._peers.items()
-            if peer.received_s > oldest_s
+        self._controls = {
+            source: control
+            for source, control in self._controls.items()
+            if control.received_s > oldest_s
         }
 
     def _merge(self, label: int) -> Evidence:
@@ -206,8 +206,8 @@
         window, recent, fresh = own.window, own.recent, own.fresh
         good_since_bad, bad_sources = own.good_since_bad, own.bad_sources
         by_domain = dict(own.by_domain)
-        for peer in self._peers.values():
-            pooled = peer.by_label.get(label)
+        for control in self._controls.values():
+            pooled = control.by_label.get(label)
             if pooled is None:
                 continue
             counts = AnswerCounts(pooled.answers, pooled.slow, pooled.failed)
@@ -216,8 +216,8 @@
             fresh = fresh.add(AnswerCounts(pooled.fresh_answers, pooled.fresh_bad))
             good_since_bad += pooled.good_since_bad
             bad_sources += pooled.observers
-            answers, bad = by_domain.get(peer.failure_domain, (0, 0))
-            by_domain[peer.failure_domain] = (
+            answers, bad = by_domain.get(control.failure_domain, (0, 0))
+            by_domain[control.failure_domain] = (
                 answers + counts.answers,
                 bad + counts.bad,
             )
@@ -252,10 +252,10 @@
             with the most bad answers first; usually empty. Computed from the last call
             of `collect_evidence`.
         """
-        doubted_by_peers = {
+        doubted_by_others = {
             label
-            for peer in self._peers.values()
-            for label, answer in peer.by_label.items()
+            for control in self._controls.values()
+            for label, answer in control.by_label.items()
             if answer.doubted
         }
         doubted = {
@@ -266,7 +266,7 @@
         labels = [
             label
             for label, own in self._own_sums.items()
-            if own.window.answers and (label in doubted or label in doubted_by_peers)
+            if own.window.answers and (label in doubted or label in doubted_by_others)
         ]
         labels.sort(key=lambda label: (-self._own_sums[label].window.bad, label))
         runs = [
--- a/src/agatethread/registry/_dispatchers.py
+++ b/src/agatethread/registry/_dispatchers.py
@@ -316,5 +316,5 @@
                 now_s,
                 list_serving_at_other_controls(domain, controls, now_s),
             )
-        self._dispatchers = [by_domain[domain] for domain in sorted(by_domain)]
+        self._dispatchers = [by_domain[name] for name in sorted(by_domain)]
         self._digest = compute_digest(self._dispatchers)
--- a/src/agatethread/registry/_evacuations.py
+++ b/src/agatethread/registry/_evacuations.py
@@ -52,7 +52,7 @@
         self._now_s = now_s
         self._waiters = IndexWaiters()
         self.newest = Evacuations()
-        #: Version that all reachable entry instances have acknowledged.
+        #: Version that all reachable entry instances have acknowledged; sent in polls.
         self.acknowledged_version = 0
         #: Called when that version increases, to notify control instances at once.
         self.on_acknowledged: Callable[[], None] = _do_nothing
@@ -74,10 +74,10 @@
             return False
         self.newest = Evacuations()
         self.newest.CopyFrom(evacuations)
-        self.publish()
+        self.send_unacknowledged()
         return True
 
-    def publish(self) -> None:
+    def send_unacknowledged(self) -> None:
         """Send the evacuations to entry instances that have not acknowledged them.
 
         To be called ten times a second.
@@ -128,7 +128,7 @@
             Whether all have acknowledged it.
         """
         acknowledged = self._waiters.add(version)
-        self.publish()
+        self.send_unacknowledged()
         try:
             await asyncio.wait_for(acknowledged, timeout_s)
         except TimeoutError:
@@ -136,7 +136,7 @@
         return True
 
 
-class ReceivedEvacuations:
+class EvacuationReceiver:
     """Applies received evacuations if they are newer, and stores their version.
 
     Parameters
@@ -154,7 +154,7 @@
         """Version that this process acknowledges in its polls."""
         return self.version
 
-    def store(self, evacuations: Evacuations) -> None:
+    def apply_newer(self, evacuations: Evacuations) -> None:
         """Apply the evacuations of a control instance if they are newer.
 
         Parameters
--- a/src/agatethread/registry/_quality.py
+++ b/src/agatethread/registry/_quality.py
@@ -155,11 +155,11 @@
     def tick(self) -> None:
         """Judge all runs and send the results; to be called ten times a second."""
         now_s = self._now_s()
-        fresh_s = {
+        fresh_from_by_label = {
             label: fresh_from_s(judgement)
             for label, judgement in self._judgements.items()
         }
-        self._evidence = self._pool.collect_evidence(now_s, fresh_s)
+        self._evidence = self._pool.collect_evidence(now_s, fresh_from_by_label)
         self._send_doubtful_runs(now_s)
         if self._evidence or self._judgements:
             self._judge(now_s)
@@ -170,9 +170,9 @@
         by_label = {
             derive_label(run.number, run.started_ms): run for run in self._runs()
         }
-        for domains in _group_by_service(by_label).values():
+        for domain_by_label in _group_by_service(by_label).values():
             judgements |= judge_service(
-                self._judgements, self._evidence, domains, now_s
+                self._judgements, self._evidence, domain_by_label, now_s
             )
         for label in sorted(judgements.keys() | self._judgements.keys()):
             run = by_label.get(label)
--- a/src/agatethread/registry/_run_logs.py
+++ b/src/agatethread/registry/_run_logs.py
@@ -1,7 +1,7 @@
 """Logs state changes of runs, and status and end reports that were not accepted."""
 
 from agatethread.observability import Event, make_logger
-from agatethread.registry._admission import Verdict
+from agatethread.registry._admission import ReportVerdict
 from agatethread.registry._entries import RunEntry
 from agatethread.registry._report import Report
 from agatethread.wire.registry_pb2 import BackendRun
@@ -10,7 +10,7 @@
 
 
 def log_rejected_report(
-    report: Report, verdict: Verdict, holder: RunEntry | None, now_s: float
+    report: Report, verdict: ReportVerdict, holder: RunEntry | None, now_s: float
 ) -> None:
     """Log a report that was not accepted.
 
@@ -18,7 +18,7 @@
     ----------
     report : Report
         The report.
-    verdict : Verdict
+    verdict : ReportVerdict
         The reason.
     holder : RunEntry or None
         The run of another id that holds the report's address.
@@ -35,7 +35,7 @@
     )
 
 
-def log_ignored_end(run: BackendRun, started_ms: int) -> None:
+def log_rejected_end(run: BackendRun, started_ms: int) -> None:
     """Log an end report that does not apply to the known run.
 
     Parameters
--- a/src/agatethread/registry/_runs.py
+++ b/src/agatethread/registry/_runs.py
@@ -11,7 +11,7 @@
 from agatethread.registry._admission import (
     RUN_RETENTION_S,
     KnownRun,
-    Verdict,
+    ReportVerdict,
     check_report,
     end_applies_to,
 )
@@ -29,7 +29,7 @@
 from agatethread.registry._run_logs import (
     log_changed_run,
     log_ended,
-    log_ignored_end,
+    log_rejected_end,
     log_rejected_report,
     log_stopped_reporting,
 )
@@ -106,7 +106,7 @@
             If the report contradicts the known runs; nothing was changed.
         """
         verdict = self._judge(report)
-        if verdict in (Verdict.STARTS, Verdict.CONTINUES):
+        if verdict in (ReportVerdict.STARTS, ReportVerdict.CONTINUES):
             verdict = self._check_writer(report, verdict)
         entry = self._get_or_admit(report, verdict)
         if verdict.is_refusal:
@@ -123,17 +123,17 @@
             entry.details_index = self.index
         return changed
 
-    def _check_writer(self, report: Report, verdict: Verdict) -> Verdict:
+    def _check_writer(self, report: Report, verdict: ReportVerdict) -> ReportVerdict:
         """Return a refusal for an unknown service or a missing start time."""
-        starts = verdict is Verdict.STARTS
+        starts = verdict is ReportVerdict.STARTS
         # Before the first routing table, every service is accepted.
         if starts and self.services and report.service not in self.services:
-            return Verdict.UNKNOWN_SERVICE
+            return ReportVerdict.UNKNOWN_SERVICE
         if report.started_ms == START_UNKNOWN and self._entries.most_have_start():
-            return Verdict.START_MISSING
+            return ReportVerdict.START_MISSING
         return verdict
 
-    def _judge(self, report: Report) -> Verdict:
+    def _judge(self, report: Report) -> ReportVerdict:
         holder = self._entries.get_address_holder(report.address, report.id)
         number_holder = self._entries.get_number_holder(report.number, report.id)
         return check_report(
@@ -149,13 +149,13 @@
             KnownRun(entry.run, self._now_s() - entry.last_report_s) if entry else None
         )
 
-    def _get_or_admit(self, report: Report, verdict: Verdict) -> RunEntry | None:
+    def _get_or_admit(self, report: Report, verdict: ReportVerdict) -> RunEntry | None:
         """Return the existing or new entry of an accepted report, else None."""
-        if verdict is Verdict.CONTINUES:
+        if verdict is ReportVerdict.CONTINUES:
             return self._entries.get(report.id)
-        if verdict is Verdict.STARTS:
+        if verdict is ReportVerdict.STARTS:
             return self._admit(report)
-        if verdict is not Verdict.OUTDATED:
+        if verdict is not ReportVerdict.OUTDATED:
             holder = self._entries.get_address_holder(report.address, report.id)
             log_rejected_report(report, verdict, holder, self._now_s())
         return None
@@ -280,7 +280,7 @@
         if entry.run.ended:
             return False
         if not end_applies_to(entry.run, ended.started_ms):
-            log_ignored_end(entry.run, ended.started_ms)
+            log_rejected_end(entry.run, ended.started_ms)
             return False
         entry.run.draining |= ended.draining
         self._end(entry, reason)
--- a/src/agatethread/registry/_subscription.py
+++ b/src/agatethread/registry/_subscription.py
@@ -9,7 +9,7 @@
 from agatethread.observability import Counters, Event, make_logger
 from agatethread.registry._chunks import TableAssembler
 from agatethread.registry._control_link import ControlLink
-from agatethread.registry._evacuations import EvacuationPublisher, ReceivedEvacuations
+from agatethread.registry._evacuations import EvacuationPublisher, EvacuationReceiver
 from agatethread.registry._own_domain import (
     OwnDomainChoice,
     add_own_domain,
@@ -74,7 +74,7 @@
         Called with each newer routing table.
     counters : Counters
         Counters of rejected messages.
-    evacuations : ReceivedEvacuations or EvacuationPublisher, optional
+    evacuations : EvacuationReceiver or EvacuationPublisher, optional
         Store of received evacuations; a control instance passes its publisher, which
         has them from the log.
     """
@@ -90,7 +90,7 @@
         on_run: Callable[[BackendRun], None],
         on_routes: Callable[[RoutingTable], None],
         counters: Counters,
-        evacuations: ReceivedEvacuations | EvacuationPublisher | None = None,
+        evacuations: EvacuationReceiver | EvacuationPublisher | None = None,
     ):
         self._failure_domain = failure_domain
         self._is_control = is_control
@@ -100,7 +100,7 @@
         self._on_run = on_run
         self._on_routes = on_routes
         self._counters = counters
-        self._evacuations = evacuations or ReceivedEvacuations()
+        self._evacuations = evacuations or EvacuationReceiver()
         self._incoming_table = TableAssembler()
         #: Presence of this entry instance, sent with polls.
         self.presence: Presence = PRESENCE_UNKNOWN
@@ -325,7 +325,7 @@
         if link is None or chunk.version <= self.routes_version:
             return
         # Applied before the table, so that no flow is placed without evacuations.
-        self._evacuations.store(chunk.evacuations)
+        self._evacuations.apply_newer(chunk.evacuations)
         if not 0 <= chunk.number < chunk.count:
             self._counters["registry_unreadable"] += 1
             return
@@ -349,7 +349,7 @@
         link = self.links.get(source)
         if link is None:
             return
-        self._evacuations.store(evacuations)
+        self._evacuations.apply_newer(evacuations)
         self._acknowledge(link)
 
     def is_complete(self) -> bool:
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -122,20 +122,20 @@
             self.probers[number] = Prober(
                 table,
                 timers,
-                lambda target, peer, me=number: self.send(me, target, peer),
+                lambda target, peer, sender=number: self.send(sender, target, peer),
                 [member(seed).address for seed in seeds],
                 0.2,
                 0.5,
                 Counters(),
             )
 
-    def send(self, me, target, peer):
-        other = next(n for n in self.tables if member(n).address == target)
-        if frozenset((me, other)) in self.cut:
+    def send(self, sender, target, peer):
+        receiver = next(n for n in self.tables if member(n).address == target)
+        if frozenset((sender, receiver)) in self.cut:
             return
         copy = Peer.FromString(peer.SerializeToString())
         loop = asyncio.get_running_loop()
-        loop.call_later(0.002, self.receive, other, member(me).address, copy)
+        loop.call_later(0.002, self.receive, receiver, member(sender).address, copy)
 
     def receive(self, number, sender, peer):
         if peer.HasField("ping"):
--- a/tests/registry/test_evacuations.py
+++ b/tests/registry/test_evacuations.py
@@ -79,7 +79,7 @@
         world.step(5)
         before_bytes = world.sent_bytes
         for publisher in world.publishers.values():
-            publisher.publish()
+            publisher.send_unacknowledged()
         self.assertEqual(world.sent_bytes, before_bytes)
 
 
--- a/tests/registry/test_quality.py
+++ b/tests/registry/test_quality.py
@@ -91,7 +91,7 @@
         self.simulate(2.0, slow=set(range(5)))
         self.assertEqual(max(self.count_ejected()), 4)
 
-    def test_ignores_reports_of_slow_entry_instances(self):
+    def test_ignores_reports_of_faulty_entry_instances(self):
         """All four entry instances report all runs as slow, so the cause is theirs."""
         self.simulate(2.0, slow=set(range(12)))
         self.assertEqual(self.weights_sent_to(), [])
--- a/tests/registry/worlds.py
+++ b/tests/registry/worlds.py
@@ -7,7 +7,7 @@
 from agatethread.registry import (
     CompressedTable,
     EvacuationPublisher,
-    ReceivedEvacuations,
+    EvacuationReceiver,
     RegistryPublisher,
     RunTable,
     Subscription,
@@ -57,7 +57,7 @@
             self.runs.append,
             self.tables.append,
             Counters(),
-            ReceivedEvacuations(self.evacuated.append),
+            EvacuationReceiver(self.evacuated.append),
         )
 
     def start_hub(self, number, domain, seeds):
@@ -132,7 +132,7 @@
                 table.sweep()
                 hub.flush()
             for publisher in self.publishers.values():
-                publisher.publish()
+                publisher.send_unacknowledged()
             if number % 4 == 0:
                 self.entry.poll()
                 for link in self.links.values():
