--- a/tests/registry/test_admission.py
+++ b/tests/registry/test_admission.py
@@ -91,7 +91,7 @@
             self.assertIs(check(other, make_known(**state)), ReportVerdict.STARTS)
 
     def test_later_start_takes_over_the_address(self):
-        """An earlier start gets the address only after the retention time."""
+        """A later start gets the address at once, an earlier one after expiry."""
         holder = make_known(id="i-2", last_report_age_s=0.0)
         later = report(started_ms=5_001)
         earlier = report(started_ms=4_999, sequence=999)
