--- a/src/agatethread/entry/_instance.py
+++ b/src/agatethread/entry/_instance.py
@@ -207,13 +207,13 @@
         # becomes a dispatcher.
         await self.sleep(self.settings.entry.warm_up_s)
         if self.members.own_member.joining:
-            self.members.update_own_state(joining=False)
+            self.members.update_own_member(joining=False)
 
     async def leave(self) -> None:
         """Refuse queued requests and wait a limited time for running operations."""
         log.info("leaving", operations=self.requests.running_count)
         self._is_stopping = True
-        self.members.update_own_state(state=MemberState.LEAVING)
+        self.members.update_own_member(state=MemberState.LEAVING)
         self.requests.refuse_queued()
         self.prober.send_own_state()
 
@@ -319,11 +319,11 @@
         drained = self.settings.name in self.document_store.drained
         state = self.members.own_member.state
         if drained and state == MemberState.ALIVE:
-            self.members.update_own_state(state=MemberState.LEAVING)
+            self.members.update_own_member(state=MemberState.LEAVING)
             self.requests.refuse_queued()
             self.prober.send_own_state()
         elif not drained and state == MemberState.LEAVING and not self._is_stopping:
-            self.members.update_own_state(state=MemberState.ALIVE)
+            self.members.update_own_member(state=MemberState.ALIVE)
             self.prober.send_own_state()
 
     async def _initialize_member(self, member: Member) -> None:
@@ -382,7 +382,7 @@
         return {
             "flows_counted": lambda: len(self.flows),
             "operations_running": lambda: self.requests.running_count,
-            "members_live": lambda: len(self.members.live()),
+            "members_live": lambda: len(self.members.list_live()),
             "endpoints": lambda: len(self.endpoints.by_address),
             "documents_index": lambda: self.document_store.index,
         }
--- a/src/agatethread/registry/_run_logs.py
+++ b/src/agatethread/registry/_run_logs.py
@@ -1,7 +1,7 @@
-"""Logs state changes of runs, and reports and ends that were not accepted."""
+"""Logs state changes of runs, and status and end reports that were not accepted."""
 
 from agatethread.observability import Event, make_logger
-from agatethread.registry._admission import Verdict
+from agatethread.registry._admission import ReportVerdict
 from agatethread.registry._report import Report
 from agatethread.registry._run_index import RunRecord
 from agatethread.wire.registry_pb2 import BackendRun
@@ -10,7 +10,7 @@
 
 
 def log_rejected_report(
-    report: Report, verdict: Verdict, holder: RunRecord | None, now_s: float
+    report: Report, verdict: ReportVerdict, holder: RunRecord | None, now_s: float
 ) -> None:
     """Log a report that was not accepted.
 
@@ -18,7 +18,7 @@
     ----------
     report : Report
         The report.
-    verdict : Verdict
+    verdict : ReportVerdict
         The reason.
     holder : RunRecord or None
         The run of another id that holds its address.
@@ -35,8 +35,8 @@
     )
 
 
-def log_ignored_end(run: BackendRun, started_ms: int) -> None:
-    """Log an end that does not apply to the known run.
+def log_rejected_end(run: BackendRun, started_ms: int) -> None:
+    """Log an end report that does not apply to the known run.
 
     Parameters
     ----------
@@ -53,8 +53,8 @@
     )
 
 
-def log_accepted_report(run: BackendRun, is_new: bool) -> None:
-    """Log a report that is sent to entry instances.
+def log_changed_run(run: BackendRun, is_new: bool) -> None:
+    """Log an accepted report that changes the run, and so is sent to entry instances.
 
     Parameters
     ----------
--- a/src/agatethread/registry/_runs.py
+++ b/src/agatethread/registry/_runs.py
@@ -11,9 +11,9 @@
 from agatethread.registry._admission import (
     RUN_RETENTION_S,
     KnownRun,
-    Verdict,
+    ReportVerdict,
+    check_report,
     end_applies_to,
-    judge_report,
 )
 from agatethread.registry._report import START_UNKNOWN, Report
 from agatethread.registry._run_index import (
@@ -27,9 +27,9 @@
     to_run,
 )
 from agatethread.registry._run_logs import (
-    log_accepted_report,
+    log_changed_run,
     log_ended,
-    log_ignored_end,
+    log_rejected_end,
     log_rejected_report,
     log_stopped_reporting,
 )
@@ -40,8 +40,7 @@
 _SILENT_MARGIN_S = 1.0  # added, to find a control instance that answers
 #: Reporting intervals after which a run of unknown start order may use the address.
 _ADDRESS_LEASE_INTERVALS = 1.5
-#: Time between two sweeps above which this process counts as suspended meanwhile.
-_SUSPENSION_THRESHOLD_S = 1.0
+_SUSPENSION_THRESHOLD_S = 1.0  # between two sweeps
 
 
 class RunTable:
@@ -102,10 +101,10 @@
         Raises
         ------
         ReportRefusedError
-            If the report is refused, see `Verdict`; nothing was changed.
+            If the report is refused, see `ReportVerdict`; nothing was changed.
         """
         verdict = self._check_report(report)
-        if verdict in (Verdict.STARTS, Verdict.CONTINUES):
+        if verdict in (ReportVerdict.STARTS, ReportVerdict.CONTINUES):
             verdict = self._check_service_and_start(report, verdict)
         record = self._get_or_admit(report, verdict)
         if verdict.is_refusal:
@@ -115,7 +114,6 @@
 
         previous_capacity = record.run.slots, record.run.warm_up_ms
         changed = self._refresh(record, report)
-        # A change has advanced the index already.
         if not changed:
             self.index += 1
         self._records.mark_reported(record, self.index)
@@ -123,20 +121,22 @@
             record.capacity_index = self.index
         return changed
 
-    def _check_service_and_start(self, report: Report, verdict: Verdict) -> Verdict:
+    def _check_service_and_start(
+        self, report: Report, verdict: ReportVerdict
+    ) -> ReportVerdict:
         """Return a refusal for an unknown service or start time, else the verdict."""
-        starts = verdict is Verdict.STARTS
+        starts = verdict is ReportVerdict.STARTS
         # Before the first routing table, every service is accepted.
         if starts and self.services and report.service not in self.services:
-            return Verdict.UNKNOWN_SERVICE
+            return ReportVerdict.UNKNOWN_SERVICE
         if report.started_ms == START_UNKNOWN and self._records.most_have_start():
-            return Verdict.START_MISSING
+            return ReportVerdict.START_MISSING
         return verdict
 
-    def _check_report(self, report: Report) -> Verdict:
+    def _check_report(self, report: Report) -> ReportVerdict:
         holder = self._records.get_other_by_address(report.address, report.id)
         number_holder = self._records.get_other_by_number(report.number, report.id)
-        return judge_report(
+        return check_report(
             report,
             self._to_known_run(self._records.get(report.id)),
             self._to_known_run(holder),
@@ -151,13 +151,13 @@
             else None
         )
 
-    def _get_or_admit(self, report: Report, verdict: Verdict) -> RunRecord | None:
+    def _get_or_admit(self, report: Report, verdict: ReportVerdict) -> RunRecord | None:
         """Return the record of an accepted report; else log it, and return None."""
-        if verdict is Verdict.CONTINUES:
+        if verdict is ReportVerdict.CONTINUES:
             return self._records.get(report.id)
-        if verdict is Verdict.STARTS:
+        if verdict is ReportVerdict.STARTS:
             return self._admit(report)
-        if verdict is not Verdict.OUTDATED:
+        if verdict is not ReportVerdict.OUTDATED:
             holder = self._records.get_other_by_address(report.address, report.id)
             log_rejected_report(report, verdict, holder, self._now_s())
         return None
@@ -187,7 +187,7 @@
         run.warm_up_ms = warm_up_ms
         if changed:
             self._mark_changed(record)
-            log_accepted_report(run, is_new)
+            log_changed_run(run, is_new)
         return changed
 
     def end_run(self, run_id: str, started_ms: int = START_UNKNOWN) -> bool:
@@ -284,7 +284,7 @@
         if record.run.ended:
             return False
         if not end_applies_to(record.run, ended.started_ms):
-            log_ignored_end(record.run, ended.started_ms)
+            log_rejected_end(record.run, ended.started_ms)
             return False
         record.run.draining |= ended.draining
         self._end(record, reason)
--- a/tests/membership/test_members.py
+++ b/tests/membership/test_members.py
@@ -53,7 +53,7 @@
         table.apply(replace(previous, incarnation=9))
         self.assertFalse(table.is_alive(previous.ref))
 
-    def test_ignores_death_based_on_older_state(self):
+    def test_does_not_declare_changed_member_dead(self):
         """A member is not declared dead if its state has changed since."""
         table = fleet_table(2)
         suspected = replace(member(2), state=MemberState.SUSPECT)
@@ -122,20 +122,20 @@
             self.probers[number] = Prober(
                 table,
                 timers,
-                lambda target, peer, me=number: self.send(me, target, peer),
+                lambda target, peer, sender=number: self.send(sender, target, peer),
                 [member(seed).address for seed in seeds],
                 0.2,
                 0.5,
                 Counters(),
             )
 
-    def send(self, me, target, peer):
-        other = next(n for n in self.tables if member(n).address == target)
-        if frozenset((me, other)) in self.cut:
+    def send(self, sender, target, peer):
+        receiver = next(n for n in self.tables if member(n).address == target)
+        if frozenset((sender, receiver)) in self.cut:
             return
         copy = Peer.FromString(peer.SerializeToString())
         loop = asyncio.get_running_loop()
-        loop.call_later(0.002, self.receive, other, member(me).address, copy)
+        loop.call_later(0.002, self.receive, receiver, member(sender).address, copy)
 
     def receive(self, number, sender, peer):
         if peer.HasField("ping"):
@@ -152,7 +152,9 @@
         }
 
     def live(self, number):
-        return sorted(int(m.name.split("-")[1]) for m in self.tables[number].live())
+        return sorted(
+            int(m.name.split("-")[1]) for m in self.tables[number].list_live()
+        )
 
 
 class TestProber(unittest.TestCase):
@@ -219,7 +221,7 @@
         self.run_fleet(scenario)
 
     def test_groups_that_started_separately_join(self):
-        """Instances whose first join to the other seed was lost retry it."""
+        """Instances whose first join message to a seed was lost send it again."""
 
         async def scenario(fleet):
             self.assertEqual((fleet.live(1), fleet.live(3)), ([1, 2], [3, 4]))
--- a/tests/registry/worlds.py
+++ b/tests/registry/worlds.py
@@ -7,7 +7,7 @@
 from agatethread.registry import (
     CompressedTable,
     EvacuationPublisher,
-    ReceivedEvacuations,
+    EvacuationReceiver,
     RegistryPublisher,
     RunTable,
     Subscription,
@@ -59,7 +59,7 @@
             self.runs.append,
             self.received_tables.append,
             Counters(),
-            ReceivedEvacuations(self.evacuated.append),
+            EvacuationReceiver(self.evacuated.append),
         )
 
     def start_control(self, number, domain, seeds):
@@ -137,7 +137,7 @@
                 table.sweep()
                 publisher.flush()
             for evacuation_publisher in self.evacuation_publishers.values():
-                evacuation_publisher.publish()
+                evacuation_publisher.send_unacknowledged()
             if number % 4 == 0:
                 self.entry.poll()
                 for subscription in self.subscriptions.values():
