--- a/benchmarks/fuzz_members.py
+++ b/benchmarks/fuzz_members.py
@@ -14,7 +14,7 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
-from agatethread.control._member_name import load_member_name
+from agatethread.control._member_name import load_or_create_member_name
 from benchmarks.member_world import (
     Claim,
     MemberWorld,
@@ -185,7 +185,7 @@
 
 
 def fuzz(
-    seed: int, steps: int, losses_borne: int, claim: Claim = load_member_name
+    seed: int, steps: int, losses_borne: int, claim: Claim = load_or_create_member_name
 ) -> FuzzReport:
     """Fuzz once.
 
--- a/benchmarks/member_world.py
+++ b/benchmarks/member_world.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from agatethread.control import LogStorage, PeerCalls, RaftNode, Role
-from agatethread.control._member_name import load_member_name
+from agatethread.control._member_name import load_or_create_member_name
 from agatethread.control._members import voter_names
 from agatethread.control._membership import MembershipManager
 from agatethread.exceptions import AgatethreadError
@@ -50,7 +50,7 @@
         folder: Path,
         seed: int,
         losses_borne: int = 1,
-        claim: Claim = load_member_name,
+        claim: Claim = load_or_create_member_name,
     ):
         self.network = Network(seed)
         self.random = random.Random(seed)
--- a/src/agatethread/control/__init__.py
+++ b/src/agatethread/control/__init__.py
@@ -1,4 +1,8 @@
-"""Control role: a replicated log of service documents, sent to entry instances."""
+"""Control role: a replicated log of service documents or of a routing table.
+
+`ControlInstance` is for service documents, `RoutingControlInstance` for a routing
+table; both send what is committed to the entry instances.
+"""
 
 from typing import TYPE_CHECKING, Any
 
--- a/src/agatethread/control/_disk_health.py
+++ b/src/agatethread/control/_disk_health.py
@@ -4,7 +4,8 @@
 
 #: Consecutive failed writes after which a leader steps down; one may be transient.
 _STEP_DOWN_FAILURE_COUNT = 2
-#: Time for which a member with a failed write does not become a candidate.
+#: Time without candidacy after repeated failed writes, or a failed write of a
+#: candidacy.
 _CANDIDACY_PAUSE_S = 2.0
 
 
@@ -20,7 +21,7 @@
     def __init__(self, now_s: Callable[[], float]):
         self._now_s = now_s
         self._failure_count = 0
-        self._candidacy_allowed_s = 0.0
+        self._candidacy_paused_until_s = 0.0
 
     def record_success(self) -> None:
         """Record a successful write."""
@@ -42,9 +43,9 @@
 
     def pause_candidacy(self) -> None:
         """Prevent candidacy for `_CANDIDACY_PAUSE_S`."""
-        self._candidacy_allowed_s = self._now_s() + _CANDIDACY_PAUSE_S
+        self._candidacy_paused_until_s = self._now_s() + _CANDIDACY_PAUSE_S
 
     @property
     def may_be_candidate(self) -> bool:
         """Whether the member may become a candidate."""
-        return self._now_s() >= self._candidacy_allowed_s
+        return self._now_s() >= self._candidacy_paused_until_s
--- a/src/agatethread/control/_followers.py
+++ b/src/agatethread/control/_followers.py
@@ -13,14 +13,14 @@
     next_index: int
     match_index: int = 0
     last_answer_s: float = 0.0
-    #: Number of the last round in which it confirmed the leader.
+    #: Number of the last round in which the follower answered the leader.
     confirmed_round: int = 0
     #: Set when there is something to send before the next heartbeat.
     wake: asyncio.Event = field(default_factory=asyncio.Event)
 
 
 class LeadershipConfirmations:
-    """Rounds in which a majority of the voters confirms that a member leads.
+    """Rounds in which a majority of the voters confirms that this member leads.
 
     Parameters
     ----------
@@ -31,7 +31,7 @@
     def __init__(self, has_majority: Callable[[list[str]], bool]):
         self._has_majority = has_majority
         self._pending: list[tuple[int, asyncio.Future[None]]] = []
-        self.round = 0
+        self.round_number = 0
 
     def start(self) -> asyncio.Future[None]:
         """Start a round.
@@ -41,9 +41,9 @@
         asyncio.Future
             Done when a majority has answered messages sent after this call.
         """
-        self.round += 1
+        self.round_number += 1
         confirmation = asyncio.get_running_loop().create_future()
-        self._pending.append((self.round, confirmation))
+        self._pending.append((self.round_number, confirmation))
         return confirmation
 
     def complete_confirmed(self, followers: dict[str, Follower]) -> None:
@@ -55,22 +55,22 @@
             The other members by name.
         """
         still_pending = []
-        for number, confirmation in self._pending:
+        for round_number, confirmation in self._pending:
             confirmed_by = [
                 name
                 for name, follower in followers.items()
-                if follower.confirmed_round >= number
+                if follower.confirmed_round >= round_number
             ]
             if confirmation.done():
                 continue
             if self._has_majority(confirmed_by):
                 confirmation.set_result(None)
             else:
-                still_pending.append((number, confirmation))
+                still_pending.append((round_number, confirmation))
         self._pending = still_pending
 
     def pop_all(self) -> Iterator[asyncio.Future[None]]:
-        """Remove all pending rounds.
+        """Yield the futures of all pending rounds, which are removed.
 
         Yields
         ------
--- a/src/agatethread/control/_hints.py
+++ b/src/agatethread/control/_hints.py
@@ -1,4 +1,8 @@
-"""Saves state to disk that only speeds up a restart of a control instance."""
+"""Saves restart hints of a control instance: state that only speeds up a restart.
+
+After a restart, registry and routing table are served from the hints and the commit
+index, before backend servers report again and a leader is elected.
+"""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -29,13 +33,13 @@
         The data folder.
     runs : RunTable
         Runs of the backend servers.
-    hub : RegistryPublisher
+    publisher : RegistryPublisher
         Lists the entry instances.
     get_node : callable
         Returns this member of the log; None while the log is not open.
     spawn : callable
         Starts a coroutine as a task.
-    saves_runs : bool, optional
+    saves_registry : bool, optional
         Whether backend servers and entry instances are saved too.
     """
 
@@ -43,17 +47,17 @@
         self,
         folder: str,
         runs: RunTable,
-        hub: RegistryPublisher,
+        publisher: RegistryPublisher,
         get_node: Callable[[], RaftNode | None],
         spawn: Callable[[Coroutine[Any, Any, None]], object],
-        saves_runs: bool = True,
+        saves_registry: bool = True,
     ):
         self._folder = folder
         self._runs = runs
-        self._hub = hub
+        self._publisher = publisher
         self._get_node = get_node
         self._spawn = spawn
-        self._saves_runs = saves_runs
+        self._saves_registry = saves_registry
         self._is_writing = False
         self._pending_write: asyncio.Future[None] | None = None
         #: What the disk holds.
@@ -64,7 +68,7 @@
         node = self._get_node()
         current = _SavedState(
             self._runs.changed_index,
-            self._hub.known_entries(),
+            self._publisher.known_entries(),
             node.commit_index if node else 0,
         )
         if not self._is_writing and current != self._saved:
@@ -80,7 +84,7 @@
                 saved.run_change_index,
                 saved.entries,
             )
-            if self._saves_runs and has_changed:
+            if self._saves_registry and has_changed:
                 await self._in_thread(save_hints, self._folder, runs, current.entries)
             if node is not None and current.commit_index != saved.commit_index:
                 await self._in_thread(node.sync_commit_index)
--- a/src/agatethread/control/_instance.py
+++ b/src/agatethread/control/_instance.py
@@ -1,4 +1,7 @@
-"""A control instance: member of the log, watch streams and the operators' calls."""
+"""The control instance for service documents; `_routing_control` has the other kind.
+
+It is a member of the log and serves watch streams and the operators' calls.
+"""
 
 from collections.abc import AsyncIterator
 from typing import Any
@@ -144,7 +147,7 @@
         Parameters
         ----------
         member : str
-            Name of the control instance.
+            Name of the control instance, as in `control.members`.
 
         Returns
         -------
--- a/src/agatethread/control/_log.py
+++ b/src/agatethread/control/_log.py
@@ -3,8 +3,7 @@
 from agatethread.control._storage import LogStorage
 from agatethread.wire.control_pb2 import ControlState, LogEntry, Members
 
-#: Limits of one message: it must arrive within the timeout of a call over the slowest
-#: link between control instances (170 Mbit/s).
+#: Limits of one message, so that it arrives well within the timeout of a call.
 _MAX_APPEND_ENTRIES = 256
 _MAX_APPEND_BYTES = 256 << 10
 
@@ -30,14 +29,14 @@
         self.snapshot = snapshot
 
     @property
-    def base_index(self) -> int:
+    def snapshot_index(self) -> int:
         """Index of the last entry in the snapshot."""
         return self.snapshot.last_index
 
     @property
     def last_index(self) -> int:
         """Index of the last entry."""
-        return self.base_index + len(self._entries)
+        return self.snapshot_index + len(self._entries)
 
     def term_at(self, index: int) -> int:
         """Return an entry's term.
@@ -45,16 +44,16 @@
         Parameters
         ----------
         index : int
-            Index of the entry, at least `base_index`.
+            Index of the entry, at least `snapshot_index`.
 
         Returns
         -------
         int
             The term.
         """
-        if index == self.base_index:
+        if index == self.snapshot_index:
             return self.snapshot.last_term
-        return self._entries[index - self.base_index - 1].term
+        return self._entries[index - self.snapshot_index - 1].term
 
     def batch_from(self, index: int) -> list[LogEntry]:
         """Return the entries of one message.
@@ -69,7 +68,7 @@
         list of LogEntry
             In order; at least one if the log has an entry at `index`.
         """
-        start = index - self.base_index - 1
+        start = index - self.snapshot_index - 1
         batch: list[LogEntry] = []
         size = 0
         for entry in self._entries[start : start + _MAX_APPEND_ENTRIES]:
@@ -93,7 +92,7 @@
             In order.
         """
         return self._entries[
-            after_index - self.base_index : through_index - self.base_index
+            after_index - self.snapshot_index : through_index - self.snapshot_index
         ]
 
     def latest_members(self) -> Members | None:
@@ -109,15 +108,15 @@
         )
 
     def latest_members_index(self) -> int:
-        """Return the index of the entry that `latest_members` returns members of.
+        """Return the index of the newest entry after the snapshot that sets members.
 
         Returns
         -------
         int
-            Index of the entry, or `base_index` if there is none.
+            Index of the entry, or `snapshot_index` if there is none.
         """
         changes = (e.index for e in reversed(self._entries) if _sets_members(e))
-        return next(changes, self.base_index)
+        return next(changes, self.snapshot_index)
 
     def append(self, entries: list[LogEntry]) -> None:
         """Append entries and sync them.
@@ -135,7 +134,7 @@
         self._storage.append(entries)
         self._entries.extend(entries)
 
-    def truncate(self, last_index: int) -> None:
+    def truncate_after(self, last_index: int) -> None:
         """Delete the entries after an index.
 
         Parameters
@@ -143,12 +142,12 @@
         last_index : int
             Index of the last entry that stays.
         """
-        remaining_count = last_index - self.base_index
+        remaining_count = last_index - self.snapshot_index
         self._storage.truncate(remaining_count)
         del self._entries[remaining_count:]
 
     def _contains(self, index: int, term: int) -> bool:
-        is_in_range = self.base_index <= index <= self.last_index
+        is_in_range = self.snapshot_index <= index <= self.last_index
         return is_in_range and self.term_at(index) == term
 
     def compact(self, snapshot: ControlState) -> None:
@@ -162,7 +161,8 @@
         Raises
         ------
         DiskFullError
-            If it could not be written; nothing has changed.
+            If it could not be written; nothing has changed in memory, but the snapshot
+            file may be the new one.
         """
         remaining: list[LogEntry] = []
         if self._contains(snapshot.last_index, snapshot.last_term):
--- a/src/agatethread/control/_log_opening.py
+++ b/src/agatethread/control/_log_opening.py
@@ -2,14 +2,14 @@
 
 from collections.abc import Awaitable, Callable
 
-from agatethread.control._member_name import load_member_name
+from agatethread.control._member_name import load_or_create_member_name
 from agatethread.control._raft import RaftNode
 from agatethread.control._routing_settings import RoutingControlSettings
 from agatethread.control._storage import LogStorage
 from agatethread.exceptions import DiskFullError, LogCorruptError
 from agatethread.observability import Event, make_logger
 
-#: A full or stalled disk may recover at any time.
+#: Interval between attempts after a disk error or a corrupt file.
 _RETRY_INTERVAL_S = 0.5
 
 log = make_logger("control")
@@ -42,7 +42,7 @@
     while not should_stop():
         storage = LogStorage(settings.data_dir)
         try:
-            name = load_member_name(
+            name = load_or_create_member_name(
                 storage, settings.target, settings.is_first_start, settings.seeds
             )
             node = make_node(name, storage)
@@ -68,8 +68,8 @@
         log.error(Event.LOG_NOT_SET_ASIDE, error=str(error))
 
 
-def log_opened(node: RaftNode) -> None:
-    """Write the log line of an opened log.
+def report_opened(node: RaftNode) -> None:
+    """Report in the process log that the Raft log is open.
 
     Parameters
     ----------
--- a/src/agatethread/control/_log_port.py
+++ b/src/agatethread/control/_log_port.py
@@ -1,4 +1,4 @@
-"""gRPC server and client calls of the log.
+"""gRPC server and clients for Raft calls between control instances.
 
 A module of its own because it loads gRPC: after a restart of all control instances,
 the routing table on disk is served before this module is loaded.
@@ -16,13 +16,13 @@
 from agatethread.wire import control_pb2_grpc
 from agatethread.wire.control_pb2 import ControlMember
 
-#: Several heartbeat intervals; enough to install a snapshot on a slow disk.
+#: Timeout of each call, also of one that installs a snapshot on a slow disk.
 _CALL_TIMEOUT_S = 0.6
 _STOP_GRACE_S = 0.2
 
 
 class LogPort:
-    """Serves the calls of the log and connects to other control instances.
+    """Serves Raft calls and join requests, and connects to other control instances.
 
     Parameters
     ----------
@@ -55,17 +55,17 @@
         await self._server.start()
 
     def connect(self, target: str) -> PeerCalls:
-        """Return the calls to another control instance.
+        """Return the client functions for another control instance.
 
         Parameters
         ----------
         target : str
-            ``IP:port`` of its log.
+            ``IP:port`` of its Raft service.
 
         Returns
         -------
         PeerCalls
-            The calls.
+            The client functions.
         """
         return connect_peer(self._credentials, target, _CALL_TIMEOUT_S)
 
--- a/src/agatethread/control/_member_changes.py
+++ b/src/agatethread/control/_member_changes.py
@@ -1,8 +1,9 @@
 """Computes the next membership change of the log, without network access.
 
-Membership changes by one voter at a time (Ongaro's dissertation, section 4.1). Joint
-consensus (Ongaro and Ousterhout 2014, section 6) is not needed, since few members
-change and each step commits quickly. An even number of voters lasts for one step only.
+Each change adds or removes one voter (Ongaro's dissertation, section 4.1), or replaces
+a voter whose disk was lost. Joint consensus (Ongaro and Ousterhout 2014, section 6) is
+not needed, since few members change and each step commits quickly. An even number of
+voters lasts for one step only.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -13,7 +14,8 @@
 #: A voter that is silent for longer is replaced if a learner is ready. Longer than a
 #: restart; shorter than the 4 s after which a further loss must be tolerated.
 VOTER_TIMEOUT_S = 3.0
-#: A learner that is silent for longer is removed; it can join again.
+#: A learner that is silent for longer is removed; the instance then sends a new join
+#: request.
 LEARNER_TIMEOUT_S = 20.0
 #: Entries that a learner may lack and still count as caught up.
 _CAUGHT_UP_LAG_COUNT = 2
@@ -42,9 +44,11 @@
     leader: str,
     joiners: Iterable[ControlMember],
     progress: Mapping[str, MemberProgress],
-    voter_target: int,
+    voter_count: int,
 ) -> Members | None:
-    """Return the members after the next change, which is of one voter at most.
+    """Return the members after the next change, which affects one voter at most.
+
+    A voter whose disk was lost is replaced in a single change.
 
     Parameters
     ----------
@@ -56,8 +60,8 @@
         Instances that have asked to join.
     progress : mapping of str to MemberProgress
         Progress of every member but the leader.
-    voter_target : int
-        Number of voters that the losses to be tolerated require.
+    voter_count : int
+        Wanted number of voters; 2f + 1 for f losses to be tolerated.
 
     Returns
     -------
@@ -76,25 +80,26 @@
         if voter.name != leader
         and _progress_of(progress, voter.name).silent_s > VOTER_TIMEOUT_S
     ]
-    target = _feasible_target(voter_target, len(voters) + len(ready))
+    wanted_voter_count = _feasible_voter_count(voter_count, len(voters) + len(ready))
 
     return (
         _add_learner(members, joiners)
         or _replace_lost_disk(members, voters, ready)
-        or _remove_surplus_voter(members, voters, silent, target, leader)
-        or _promote_learner(members, voters, silent, ready, target)
+        or _reduce_voters(members, voters, silent, wanted_voter_count, leader)
+        or _promote_learner(members, voters, silent, ready, wanted_voter_count)
         or _remove_silent_learner(members, progress)
     )
 
 
 def _progress_of(progress: Mapping[str, MemberProgress], name: str) -> MemberProgress:
+    # Without progress, a member counts as far behind, but not as silent.
     return progress.get(name, MemberProgress(silent_s=0.0, lag_count=1 << 30))
 
 
-def _feasible_target(voter_target: int, available_count: int) -> int:
+def _feasible_voter_count(voter_count: int, available_count: int) -> int:
     # An even number of voters tolerates no more losses than the odd one below it.
     return min(
-        voter_target,
+        voter_count,
         available_count if available_count % 2 else available_count - 1,
     )
 
@@ -106,7 +111,7 @@
     return Members(members=[*kept, *added])
 
 
-def _with_role(member: ControlMember, voter: bool) -> ControlMember:
+def _with_voter(member: ControlMember, voter: bool) -> ControlMember:
     copy = ControlMember()
     copy.CopyFrom(member)
     copy.voter = voter
@@ -117,7 +122,7 @@
     member_names = {member.name for member in members.members}
     for joiner in joiners:
         if joiner.name not in member_names:
-            return _replace_members(members, lambda _: True, _with_role(joiner, False))
+            return _replace_members(members, lambda _: True, _with_voter(joiner, False))
     return None
 
 
@@ -125,9 +130,9 @@
     members: Members, voters: list[ControlMember], ready: list[ControlMember]
 ) -> Members | None:
     # A learner has the voter's address under another name, so the voter's disk is lost
-    # and the voter can't vote any more. Every majority of the old voters and every
-    # majority of the new ones includes one of the other voters, so it is safe to
-    # replace the voter in one step.
+    # and the voter can't vote any more. Each majority of the old voters that can still
+    # form consists of unchanged voters and intersects each majority of the new voters,
+    # so it is safe to replace the voter in one step.
     for learner in ready:
         for voter in voters:
             if voter.target == learner.target:
@@ -135,19 +140,19 @@
                 return _replace_members(
                     members,
                     lambda member, names=replaced_names: member.name not in names,
-                    _with_role(learner, True),
+                    _with_voter(learner, True),
                 )
     return None
 
 
-def _remove_surplus_voter(
+def _reduce_voters(
     members: Members,
     voters: list[ControlMember],
     silent: list[ControlMember],
-    target: int,
+    wanted_voter_count: int,
     leader: str,
 ) -> Members | None:
-    if len(voters) <= target:
+    if len(voters) <= wanted_voter_count:
         return None
     if silent:
         return _replace_members(members, lambda member: member.name != silent[0].name)
@@ -157,7 +162,7 @@
         return None
     demoted = max(others, key=lambda voter: (counts[voter.failure_domain], voter.name))
     return _replace_members(
-        members, lambda member: member.name != demoted.name, _with_role(demoted, False)
+        members, lambda member: member.name != demoted.name, _with_voter(demoted, False)
     )
 
 
@@ -173,9 +178,9 @@
     voters: list[ControlMember],
     silent: list[ControlMember],
     ready: list[ControlMember],
-    target: int,
+    wanted_voter_count: int,
 ) -> Members | None:
-    if not ready or (len(voters) >= target and not silent):
+    if not ready or (len(voters) >= wanted_voter_count and not silent):
         return None
     silent_names = {voter.name for voter in silent}
     staying = [voter for voter in voters if voter.name not in silent_names]
@@ -185,7 +190,9 @@
         key=lambda learner: (counts.get(learner.failure_domain, 0), learner.name),
     )
     return _replace_members(
-        members, lambda member: member.name != promoted.name, _with_role(promoted, True)
+        members,
+        lambda member: member.name != promoted.name,
+        _with_voter(promoted, True),
     )
 
 
--- a/src/agatethread/control/_member_name.py
+++ b/src/agatethread/control/_member_name.py
@@ -1,7 +1,7 @@
 """The member name that a disk has in the log.
 
-The name belongs to the disk, not to the address: an instance that restarts at its
-address with an empty disk has lost its votes and entries, and is a new member.
+An instance that restarts with an empty disk has lost its votes and entries, so it joins
+as a new member: its disk gets a new name, also at the same address.
 """
 
 import secrets
@@ -19,7 +19,7 @@
 log = make_logger("identity")
 
 
-def load_member_name(
+def load_or_create_member_name(
     storage: LogStorage,
     target: str,
     is_first_start: bool,
@@ -32,12 +32,13 @@
     storage : LogStorage
         Files of the log.
     target : str
-        Address of this instance's log, ``IP:port``.
+        Address at which other control instances reach this one's Raft service,
+        ``IP:port``.
     is_first_start : bool
-        Whether the whole system starts for the first time, so that an empty disk
-        was empty before.
+        Whether the whole system starts for the first time: then an empty disk has
+        lost nothing.
     founders : sequence of ControlMember
-        The first members; each has its address as name.
+        The initial members; each has its address as name.
 
     Returns
     -------
@@ -59,8 +60,9 @@
         log.warning(Event.EMPTY_DISK, name=name)
         return name
 
-    # Members before the name: after a crash between the two writes the disk counts as
-    # empty at the next start, and the instance joins instead of voting.
+    # Members before the name: after a crash between the two writes the disk has no name
+    # at the next start. Both writes are repeated, or the instance joins as a new member
+    # if `is_first_start` has been unset by then.
     members = Members(members=founders)
     storage.save_snapshot(ControlState(members=members), [])
     storage.save_hard_state(HardState(member_name=target, may_vote=True))
--- a/src/agatethread/control/_members.py
+++ b/src/agatethread/control/_members.py
@@ -56,14 +56,14 @@
 
 
 def has_majority(members: Members, names: Iterable[str]) -> bool:
-    """Return whether members include a majority of the voters.
+    """Return whether some names include a majority of the voters.
 
     Parameters
     ----------
     members : Members
         The members.
     names : iterable of str
-        Names of the members.
+        Names to check.
 
     Returns
     -------
--- a/src/agatethread/control/_membership.py
+++ b/src/agatethread/control/_membership.py
@@ -12,12 +12,12 @@
 from agatethread.observability import Event, make_logger
 from agatethread.wire.control_pb2 import ControlMember, JoinRequest, Members
 
-#: Without contact to a leader for longer, the instance asks to join; longer than an
+#: Without a message from a leader for longer, the instance asks to join; longer than an
 #: election.
-_LEADER_TIMEOUT_S = 1.5
+_JOIN_AFTER_SILENCE_S = 1.5
 #: Retention of a join request; covers several retries of the call.
 _JOIN_REQUEST_RETENTION_S = 2.0
-#: A change that is not committed in time is computed again from the current state.
+#: Longest wait for a commit; then the next change is computed from the current members.
 _CHANGE_TIMEOUT_S = 2.5
 
 log = make_logger("members")
@@ -33,13 +33,13 @@
     node : RaftNode
         This member of the log.
     address : ControlMember
-        This instance's addresses and failure domain.
+        This instance's addresses and failure domain, without a name.
     voter_count : int
-        Number of voters that the losses to be tolerated require.
+        Wanted number of voters; 2f + 1 for f losses to be tolerated.
     list_targets : callable
-        Returns the log addresses of the reachable control instances.
+        Returns the Raft addresses of the reachable control instances.
     connect : callable
-        Returns the calls to an address.
+        Returns the client functions for an address.
     now_s : callable
         Monotonic clock.
     spawn : callable
@@ -88,9 +88,13 @@
         return True
 
     def request_join(self) -> None:
-        """Send join requests to all reachable instances if no leader is known."""
+        """Send join requests to all reachable control instances, if needed.
+
+        They are sent if this instance is not a member, or has had no message from a
+        leader for `_JOIN_AFTER_SILENCE_S`.
+        """
         is_member = find_member(self._node.members, self._node.name) is not None
-        if is_member and self._node.leader_silence_s < _LEADER_TIMEOUT_S:
+        if is_member and self._node.leader_silence_s < _JOIN_AFTER_SILENCE_S:
             return
         for target in self._list_targets():
             self._spawn(self._join(target))
@@ -120,7 +124,7 @@
         )
         if members is not None:
             self._is_changing = True
-            self._spawn(self._change(members))
+            self._spawn(self._commit_change(members))
 
     def _progress(self) -> dict[str, MemberProgress]:
         node = self._node
@@ -132,7 +136,7 @@
             if member.name != node.name
         }
 
-    async def _change(self, members: Members) -> None:
+    async def _commit_change(self, members: Members) -> None:
         log.info(
             Event.MEMBERS_CHANGE,
             voters=[member.name for member in members.members if member.voter],
--- a/src/agatethread/control/_orders.py
+++ b/src/agatethread/control/_orders.py
@@ -1,7 +1,7 @@
 """Operators' requests to a control instance: routing tables and evacuations.
 
-Each change is committed in the log before it is acknowledged. Until then an operator
-may send it again to any control instance.
+Each request is committed in the log as a command before it is acknowledged. Until then
+an operator may send it again to any control instance.
 """
 
 import asyncio
@@ -10,24 +10,26 @@
 
 from agatethread.control._members import find_member
 from agatethread.control._raft import RaftNode
-from agatethread.control._replicated_state import find_name_error
+from agatethread.control._replicated_state import find_domain_name_error
 from agatethread.exceptions import ChangeRefusedError, FieldError, UnavailableError
 from agatethread.observability import Counters, Event, Histogram, make_logger
 from agatethread.registry import EvacuationPublisher
 from agatethread.routing import RoutingDocument, check_document, encode_table
 from agatethread.wire.control_pb2 import Command, Outcome, PutRoutes, SetEvacuation
 
-#: The outcome of a change that takes longer is unknown; its sender retries.
+#: Longest wait for the commit of a command; afterwards its outcome is unknown and the
+#: operator sends the request again.
 _CHANGE_TIMEOUT_S = 2.5
-#: Below the timeout of one second of the sender.
+#: Longest wait for a read; below the sender's timeout of one second.
 _READ_TIMEOUT_S = 0.8
-#: Time for an order and its distribution; the sender's timeout is one second too.
+#: Time after the request for an evacuation until which entry instances may acknowledge
+#: it; below the sender's timeout of one second.
 _ACKNOWLEDGEMENT_TIMEOUT_S = 0.8
 
 log = make_logger("control")
 
 
-class OperatorOrders:
+class OperatorRequests:
     """Handles operators' requests for one control instance.
 
     Parameters
@@ -37,12 +39,12 @@
     evacuations : EvacuationPublisher
         Sends evacuations to the entry instances.
     evacuation_wait_s : float
-        Longest time to delay an acknowledgement until the entry instances know the
-        evacuation.
+        Longest time to delay an acknowledgement until the entry instances have
+        acknowledged the evacuation.
     now_s : callable
         Monotonic clock.
     counters : Counters
-        Counts changes.
+        Counts committed routing tables.
     """
 
     def __init__(
@@ -58,7 +60,7 @@
         self._evacuation_wait_s = evacuation_wait_s
         self._now_s = now_s
         self._counters = counters
-        #: Time from the request of a change until it was committed.
+        #: Time from the request to store a routing table until it was committed.
         self.change_s = Histogram()
 
     def _require_node(self) -> RaftNode:
@@ -67,13 +69,14 @@
             raise UnavailableError("the log is not open")
         return node
 
-    def get_leader_api(self) -> str:
+    def get_leader_api_address(self) -> str:
         """Return the address of the leader's API.
 
         Returns
         -------
         str
-            ``IP:port``, or an empty string if it is not known or is this instance.
+            ``IP:port``, or an empty string if this instance leads or no leader is
+            known.
         """
         node = self._get_node()
         if node is None or node.leader == node.name:
@@ -89,7 +92,7 @@
         document : RoutingDocument
             The table.
         source : bytes
-            Text of the table, returned by `read_routes`.
+            Text of the table; `read_routes` returns it unchanged.
 
         Raises
         ------
@@ -98,7 +101,7 @@
         NotLeaderError
             If another instance leads.
         UnavailableError, DiskFullError
-            If it is not known to have been committed; it may be sent again.
+            If the outcome is unknown; the request may be sent again.
         """
         check_document(document)
         node = self._require_node()
@@ -159,13 +162,13 @@
     async def set_evacuation(self, failure_domain: str, evacuated: bool) -> None:
         """Evacuate a failure domain, or readmit it.
 
-        Idempotent. Orders take effect in log order: one that is sent again after a
-        later order replaces that one.
+        Idempotent. Requests take effect in log order: one that is sent again after a
+        later request for the failure domain replaces the later one.
 
         Parameters
         ----------
         failure_domain : str
-            Its name; the failure domain need not be known.
+            Its name; need not be one that a backend server has reported.
         evacuated : bool
             Whether its backend servers get no new work.
 
@@ -178,9 +181,9 @@
         NotLeaderError
             If another instance leads.
         UnavailableError, DiskFullError
-            If it is not known to have been committed; it may be sent again.
+            If the outcome is unknown; the request may be sent again.
         """
-        error = find_name_error(failure_domain)
+        error = find_domain_name_error(failure_domain)
         if error:
             raise FieldError("order", "failure_domain", failure_domain, error)
         change = SetEvacuation(failure_domain=failure_domain, evacuated=evacuated)
@@ -192,7 +195,7 @@
         agreed_s = self._now_s()
         version = node.documents.evacuations.version
         remaining_s = _ACKNOWLEDGEMENT_TIMEOUT_S - (agreed_s - started_s)
-        is_known_everywhere = await self._evacuations.wait_until_acknowledged(
+        is_acknowledged = await self._evacuations.wait_until_acknowledged(
             version, max(0.0, min(self._evacuation_wait_s, remaining_s))
         )
         log.info(
@@ -204,5 +207,5 @@
             term=node.term,
             took_s=round(agreed_s - started_s, 3),
             told_s=round(self._now_s() - agreed_s, 3),
-            told_everywhere=is_known_everywhere,
+            told_everywhere=is_acknowledged,
         )
--- a/src/agatethread/control/_peers.py
+++ b/src/agatethread/control/_peers.py
@@ -1,4 +1,4 @@
-"""gRPC calls to other control instances."""
+"""gRPC clients of other control instances."""
 
 from functools import cache
 
@@ -11,7 +11,7 @@
 
 
 def connect_peer(credentials: Credentials, target: str, timeout_s: float) -> PeerCalls:
-    """Return the calls to one control instance.
+    """Return the client functions for one control instance.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
     Returns
     -------
     PeerCalls
-        The calls; the first one opens the channel.
+        The client functions; the first call opens the channel.
     """
 
     @cache
--- a/src/agatethread/control/_proposals.py
+++ b/src/agatethread/control/_proposals.py
@@ -23,7 +23,8 @@
         Returns
         -------
         asyncio.Future
-            Future of its outcome.
+            Future of its outcome; fails with `NotLeaderError` if another entry was
+            committed at the index.
         """
         future = asyncio.get_running_loop().create_future()
         self._pending[entry.index] = (entry.term, future)
@@ -39,7 +40,7 @@
         outcome : Outcome
             Outcome of the entry.
         leader : str
-            Name of the current leader, for a proposal that another entry replaced.
+            Name of the current leader, for the `NotLeaderError`.
         """
         term, future = self._pending.pop(entry.index, (0, None))
         if future is None or future.done():
@@ -50,7 +51,7 @@
             future.set_exception(NotLeaderError(leader))
 
     def fail_all(self, leader: str) -> None:
-        """Fail all futures, since this member no longer learns the outcomes.
+        """Fail all futures, after this member has lost leadership or when it stops.
 
         Parameters
         ----------
--- a/src/agatethread/control/_raft.py
+++ b/src/agatethread/control/_raft.py
@@ -93,9 +93,9 @@
         self.role = Role.FOLLOWER
         self.leader = ""
         self._recover()
-        #: Time of the last message of a leader; a pre-vote depends on it.
+        #: Time of a leader's last message, or of the start; a pre-vote depends on it.
         self._leader_contact_s = now_s()
-        #: Start of the election timeout; a vote or an own candidacy restarts it too.
+        #: Start of the election timeout; reset by a leader, a granted vote, candidacy.
         self._timeout_start_s = now_s()
         # Short, for an early election after all members have restarted; if there is a
         # leader, the pre-vote is refused and has no effect.
@@ -114,7 +114,7 @@
         self._vote_state = VoteState(self._storage, recovered.hard_state)
         self.documents.restore(recovered.snapshot)
         self._log = ReplicatedLog(self._storage, recovered.snapshot, recovered.entries)
-        self.commit_index = self._log.base_index
+        self.commit_index = self._log.snapshot_index
         self._recovered_commit_index = recovered.commit_index
         self._static_members = Members(
             members=[
@@ -162,7 +162,7 @@
         list of LogEntry
             In order.
         """
-        return self._log.entries_between(self._log.base_index, self.commit_index)
+        return self._log.entries_between(self._log.snapshot_index, self.commit_index)
 
     @property
     def term(self) -> int:
@@ -170,30 +170,30 @@
         return self._vote_state.term
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Register a listener that is called after committed entries were applied.
+        """Register a listener that is called after the state has changed.
 
         Parameters
         ----------
         listener : callable
-            Called without arguments.
+            Called without arguments; also after a snapshot was installed.
         """
         self._listeners.append(listener)
 
     @property
-    def _majority(self) -> int:
+    def _majority_count(self) -> int:
         return majority_count(self.members)
 
     @property
     def _votes_needed(self) -> int:
         if self._vote_state.may_vote:
-            return self._majority
-        return len(voter_names(self.members))
+            return self._majority_count
+        return len(voter_names(self.members))  # may have lost votes and entries
 
     def _draw_timeout_s(self) -> float:
         return self._settings.election_timeout_s * self._random.uniform(1.0, 2.0)
 
     @Service.task
-    async def _watch_leader(self) -> None:
+    async def _run_election_timer(self) -> None:
         while not self.should_stop:
             await self.sleep(_ELECTION_POLL_S)
             if self.should_stop:
@@ -296,7 +296,7 @@
         self._disk_health.record_success()
         self._vote_state.enable_voting()
         self._followers.clear()
-        # An entry of the current term allows it to commit those of earlier terms.
+        # A leader commits entries of earlier terms only with one of its own term.
         self._log.append([LogEntry(index=self.last_index + 1, term=self.term)])
         self._update_followers()
         self._advance_commit()
@@ -330,7 +330,7 @@
             Whether the vote is granted.
         """
         if request.pre_vote:
-            return VoteReply(term=self.term, granted=self._would_vote(request))
+            return VoteReply(term=self.term, granted=self._grants_pre_vote(request))
 
         if request.term > self.term:
             self._adopt_term(request.term)
@@ -339,7 +339,7 @@
             self._timeout_start_s = self._now_s()
         return VoteReply(term=self.term, granted=granted)
 
-    def _would_vote(self, request: VoteRequest) -> bool:
+    def _grants_pre_vote(self, request: VoteRequest) -> bool:
         silent_s = self._now_s() - self._leader_contact_s
         has_leader = self.role is Role.LEADER or (
             self.leader and silent_s < self._settings.election_timeout_s
@@ -347,7 +347,7 @@
         return (
             not has_leader
             and request.term > self.term
-            and self._vote_state.would_vote(request, self._log_end)
+            and self._vote_state.is_log_eligible(request, self._log_end)
         )
 
     @property
@@ -378,8 +378,8 @@
 
     async def _send_to(self, name: str, follower: Follower, peer: PeerCalls) -> bool:
         """Send missing entries to a follower; return whether more are left to send."""
-        term, confirmation_round = self.term, self._confirmations.round
-        if follower.next_index <= self._log.base_index:
+        term, round_number = self.term, self._confirmations.round_number
+        if follower.next_index <= self._log.snapshot_index:
             reply = await peer.install_snapshot(self._snapshot_request(name))
         else:
             request = self._append_request(name, follower.next_index)
@@ -391,7 +391,7 @@
             return False
 
         follower.last_answer_s = self._now_s()
-        follower.confirmed_round = confirmation_round
+        follower.confirmed_round = round_number
         self._confirmations.complete_confirmed(self._followers)
         if not reply.success:
             retry_index = min(follower.next_index - 1, reply.match_index + 1)
@@ -467,7 +467,7 @@
             return AppendReply(term=self.term)
         if request.previous_index > self.last_index:
             return AppendReply(term=self.term, match_index=self.last_index)
-        if request.previous_index >= self._log.base_index:
+        if request.previous_index >= self._log.snapshot_index:
             if self._log.term_at(request.previous_index) != request.previous_term:
                 return AppendReply(term=self.term, match_index=self.commit_index)
 
@@ -479,12 +479,12 @@
 
     def _write_new(self, entries: list[LogEntry]) -> None:
         for position, entry in enumerate(entries):
-            if entry.index <= self._log.base_index:
+            if entry.index <= self._log.snapshot_index:
                 continue
             if entry.index <= self.last_index:
                 if self._log.term_at(entry.index) == entry.term:
                     continue
-                self._log.truncate(entry.index - 1)
+                self._log.truncate_after(entry.index - 1)
                 self._refresh_members()
             self._log.append(entries[position:])
             self._refresh_members()
@@ -547,7 +547,7 @@
                 confirmation.set_exception(NotLeaderError(self.leader))
 
     def _compact(self) -> None:
-        applied_count = self.commit_index - self._log.base_index
+        applied_count = self.commit_index - self._log.snapshot_index
         if applied_count < self._settings.snapshot_entry_count:
             return
         try:
@@ -576,7 +576,7 @@
         ------
         NotLeaderError
             If this member does not lead, or lost leadership before the outcome was
-            known; the change may still be committed under its id.
+            known; the command may still be committed.
         DiskFullError
             If it could not be written; it was not accepted.
         """
@@ -588,7 +588,7 @@
         Parameters
         ----------
         members : Members
-            The new members; they differ by one voter at most from the current ones.
+            The new members; at most one voter is added, removed or replaced.
 
         Returns
         -------
@@ -598,7 +598,7 @@
         Raises
         ------
         NotLeaderError
-            If this member does not lead, or an earlier change is not committed yet.
+            If this member does not lead or `can_change_members` is false; try later.
         DiskFullError
             If it could not be written.
         """
@@ -651,15 +651,15 @@
         for follower in self._followers.values():
             follower.wake.set()
 
-    async def confirm_leadership(self, limit_s: float) -> None:
+    async def confirm_leadership(self, timeout_s: float) -> None:
         """Wait until a majority of the voters confirms that this member leads.
 
-        The state committed here afterwards was current when the call was made. It does
-        not depend on clocks, since a process may have been suspended.
+        Afterwards the state here includes every change committed before the call. Uses
+        no leader lease, since the clock of a suspended process is unreliable.
 
         Parameters
         ----------
-        limit_s : float
+        timeout_s : float
             Longest time to wait.
 
         Raises
@@ -675,7 +675,7 @@
         self._wake_followers()
         self._confirmations.complete_confirmed(self._followers)
         try:
-            await asyncio.wait_for(confirmation, limit_s)
+            await asyncio.wait_for(confirmation, timeout_s)
         except TimeoutError:
             raise UnavailableError("leadership was not confirmed in time") from None
 
@@ -723,7 +723,7 @@
 
     @property
     def leader_silence_s(self) -> float:
-        """Time since the last message of a leader; 0 while this member leads."""
+        """Time since a leader's last message or the start; 0 while leading."""
         if self.role is Role.LEADER:
             return 0.0
         return self._now_s() - self._leader_contact_s
--- a/src/agatethread/control/_replicated_state.py
+++ b/src/agatethread/control/_replicated_state.py
@@ -20,12 +20,12 @@
 )
 from agatethread.wire.registry_pb2 import Evacuations, RoutingTable
 
-#: Outcomes stored for retries; half a day at 20,000 changes a day.
+#: Outcomes stored for retries; at 20,000 changes a day they cover half a day, longer
+#: than a client retries.
 _MAX_OUTCOMES = 10_000
-#: Length of a host name; reports of backend servers have the same limit.
+#: Longest name of a failure domain, as in reports of backend servers.
 _MAX_NAME_BYTES = 255
-#: Far more failure domains than a fleet has; bounds the state if a script sends orders
-#: in a loop.
+#: Bounds the replicated state if a script evacuates ever new names.
 MAX_EVACUATED_DOMAINS = 64
 
 
@@ -43,7 +43,7 @@
         self.members = Members()
         self.last_index = 0
         self.last_term = 0
-        #: Index of the last accepted command.
+        #: Index of the last command with an accepted outcome, also one without effect.
         self.change_index = 0
         self._outcomes: OrderedDict[str, Outcome] = OrderedDict()
 
@@ -148,6 +148,7 @@
         # The highest version wins in any order of arrival; the first change wins among
         # equal versions.
         if put.version > self.routes.version:
+            # Services that only the current table has are added to the new one.
             table = RoutingTable.FromString(put.table)
             current_table = RoutingTable.FromString(self.routes.table)
             add_earlier_services(table, current_table)
@@ -164,7 +165,7 @@
         Returns
         -------
         ControlState
-            Equal states give equal bytes.
+            The state; equal states give equal bytes in deterministic serialization.
         """
         return ControlState(
             last_index=self.last_index,
@@ -205,11 +206,11 @@
         )
 
 
-def find_name_error(failure_domain: str) -> str:
+def find_domain_name_error(failure_domain: str) -> str:
     """Return why a name is not valid for a failure domain.
 
-    The failure domain need not be known: a control instance that has just started does
-    not know all of them, and must not reject the order for that.
+    Whether such a failure domain exists isn't checked: a control instance that has just
+    started has not received all of them, and must not reject the request for that.
 
     Parameters
     ----------
@@ -231,12 +232,12 @@
 
 
 def check_command(command: Command) -> str:
-    """Check a change before it is proposed; add the compact form to a document.
+    """Check a command before it is proposed; add the JSON form of a document to it.
 
     Parameters
     ----------
     command : Command
-        The change.
+        The command; `put_document.compact` is set if it is valid.
 
     Returns
     -------
@@ -246,7 +247,7 @@
     if not command.change_id:
         return "a change needs a change id"
     if command.WhichOneof("body") == "set_evacuation":
-        return find_name_error(command.set_evacuation.failure_domain)
+        return find_domain_name_error(command.set_evacuation.failure_domain)
     if command.WhichOneof("body") != "put_document":
         return "" if command.set_drain.name else "a drain needs a name"
 
--- a/src/agatethread/control/_replication.py
+++ b/src/agatethread/control/_replication.py
@@ -1,4 +1,4 @@
-"""gRPC service for the log's calls from other control instances."""
+"""gRPC service for Raft calls and join requests from other control instances."""
 
 from collections.abc import Callable
 
@@ -30,7 +30,7 @@
     node : RaftNode
         This member.
     on_join : callable, optional
-        Called with each instance that asks to join; returns whether this member leads.
+        Called with each instance that asks to join; returns whether it is accepted.
     """
 
     def __init__(
@@ -41,7 +41,8 @@
 
     async def _handle(self, handler, request, context: grpc.aio.ServicerContext):
         if request.receiver and request.receiver != self._node.name:
-            # Meant for the member that was here before its disk was lost.
+            # The sender expects another member at this address, such as one whose disk
+            # was lost.
             await context.abort(grpc.StatusCode.NOT_FOUND, self._node.name)
         try:
             return handler(request)
--- a/src/agatethread/control/_roles.py
+++ b/src/agatethread/control/_roles.py
@@ -1,4 +1,4 @@
-"""Roles of a member of the log, and its calls to other members."""
+"""Roles of a member of the log, and its client functions for other members."""
 
 import enum
 from collections.abc import Awaitable, Callable
@@ -23,12 +23,13 @@
 
 
 class PeerCalls:
-    """Calls to one other control instance.
+    """Client functions for one other control instance.
 
     Parameters
     ----------
     vote, append, install_snapshot : callable
-        Send the request and return the reply; raise `UnavailableError`.
+        Send the request and return the reply; raise `UnavailableError` if there is
+        none.
     join : callable, optional
         As above, if members may join.
     """
--- a/src/agatethread/control/_routing_control.py
+++ b/src/agatethread/control/_routing_control.py
@@ -15,12 +15,12 @@
 from mode import Service
 
 from agatethread.control._hints import HintSaver
-from agatethread.control._log_opening import log_opened, open_log
+from agatethread.control._log_opening import open_log, report_opened
 from agatethread.control._membership import MembershipManager
-from agatethread.control._orders import OperatorOrders
+from agatethread.control._orders import OperatorRequests
 from agatethread.control._raft import RaftNode
 from agatethread.control._roles import Role
-from agatethread.control._routing_metrics import dump_log, make_measures
+from agatethread.control._routing_metrics import dump_member, make_measures
 from agatethread.control._routing_settings import RoutingControlSettings
 from agatethread.control._storage import LogStorage
 from agatethread.observability import Counters, Event, Metrics, make_logger
@@ -55,13 +55,13 @@
 _QUALITY_INTERVAL_S = 0.1
 _MEMBERS_INTERVAL_S = 0.25
 _HINTS_INTERVAL_S = 0.5
-#: After so many report intervals every live backend server has reported here.
-_SETTLED_INTERVAL_COUNT = 1.5
+#: Report intervals after which every live backend server has reported here.
+_FULL_REPORT_INTERVALS = 1.5
 #: Longest wait for the other control instances before an acknowledgement of a drain or
 #: end; below the sender's timeout of one second.
-_SPREAD_TIMEOUT_S = 0.4
-#: Without contact to a leader for longer, a newer table may have been committed.
-_LEADER_TIMEOUT_S = 1.0
+_PROPAGATION_TIMEOUT_S = 0.4
+#: Without a message from a leader for longer, a newer table may have been committed.
+_STALE_AFTER_S = 1.0
 #: Loaded only after the registry serves, since it loads gRPC.
 _LOG_PORT_MODULE = "agatethread.control._log_port"
 
@@ -93,7 +93,7 @@
         self._registry_port = parse_address(settings.registry)[1]
         self._target_port = parse_address(settings.target)[1]
         self._build_registry()
-        self.orders = OperatorOrders(
+        self.orders = OperatorRequests(
             lambda: self.node,
             self._evacuations,
             settings.policies.evacuation_wait_s,
@@ -114,7 +114,7 @@
             settings.failure_domain,
             self._transport.send,
             now_s,
-            self._is_settled,
+            self._has_all_reports,
             self._has_leader_contact,
         )
         self._dispatchers = DispatcherDirectory(
@@ -157,6 +157,7 @@
             self.counters,
         )
 
+    # All control instances have the same port numbers.
     def _get_registry_address(self, target: str) -> bytes:
         return pack_address((parse_address(target)[0], self._registry_port))
 
@@ -213,7 +214,7 @@
         self._publish_state(node)
         module = await asyncio.to_thread(importlib.import_module, _LOG_PORT_MODULE)
         if self.should_stop:
-            # `on_stop` has run already and would not stop a server started now.
+            # `on_stop` may have run already and would not stop a server started now.
             return
         self._log_port = port = module.LogPort(self.settings)
         self._membership = self._make_membership(node, port)
@@ -221,7 +222,7 @@
         await port.serve(node, self._membership.on_join, target)
         self.node = node
         await self.add_runtime_dependency(node)
-        log_opened(node)
+        report_opened(node)
 
     def _make_node(self, name: str, storage: LogStorage) -> RaftNode:
         return RaftNode(
@@ -259,12 +260,12 @@
             self._membership.start_next_change()
 
     async def leave(self) -> None:
-        """Log the stop; the other control instances need no notice."""
+        """Log the stop; called before it. Other control instances need no notice."""
         leads = self.node is not None and self.node.role is Role.LEADER
         log.info(Event.LEAVING, leads=leads)
 
     async def on_stop(self) -> None:
-        """Close the log's port and the registry, and finish a pending write."""
+        """Close the Raft server and the registry, and finish a pending write."""
         if self._log_port is not None:
             await self._log_port.close()
         if self._hints is not None:
@@ -288,6 +289,9 @@
     async def report(self, report: Report) -> None:
         """Store a report; it may be acknowledged when this returns.
 
+        If the run is draining, waits for the other control instances, at most
+        `_PROPAGATION_TIMEOUT_S`.
+
         Parameters
         ----------
         report : Report
@@ -296,14 +300,16 @@
         Raises
         ------
         ReportRefusedError
-            If the report is from another writer.
+            If it contradicts the known runs, such as another one with that id.
         """
         if self.runs.report(report):
-            await self._spread("report", report.id, report.draining)
+            await self._propagate("report", report.id, report.draining)
 
     async def end_run(self, run_id: str, started_ms: int) -> None:
         """Store the end of a run; it may be acknowledged when this returns.
 
+        Waits at most `_PROPAGATION_TIMEOUT_S` for the other control instances.
+
         Parameters
         ----------
         run_id : str
@@ -317,26 +323,26 @@
             If it is ambiguous which run has ended.
         """
         if self.runs.end_run(run_id, started_ms):
-            await self._spread("leave", run_id, True)
+            await self._propagate("leave", run_id, True)
 
-    async def _spread(self, change_kind: str, run_id: str, leaving: bool) -> None:
+    async def _propagate(self, change_kind: str, run_id: str, must_wait: bool) -> None:
         # An acknowledged drain or end must not be lost if this process fails.
-        if not leaving:
+        if not must_wait:
             self.hub.flush_soon()
             return
-        is_spread = await self.hub.flush_and_wait(_SPREAD_TIMEOUT_S)
-        if not is_spread:
+        is_acknowledged = await self.hub.flush_and_wait(_PROPAGATION_TIMEOUT_S)
+        if not is_acknowledged:
             self.counters["spread_incomplete"] += 1
             log.warning(Event.PROPAGATION_TIMEOUT, what=change_kind, run=run_id)
 
-    def _is_settled(self) -> bool:
+    def _has_all_reports(self) -> bool:
         uptime_s = self.timers.now_s() - self._started_s
-        if uptime_s > _SETTLED_INTERVAL_COUNT * self.settings.report_interval_s:
+        if uptime_s > _FULL_REPORT_INTERVALS * self.settings.report_interval_s:
             return True
         return self.subscription.is_complete()
 
     def _has_leader_contact(self) -> bool:
-        return self.node is not None and self.node.leader_silence_s < _LEADER_TIMEOUT_S
+        return self.node is not None and self.node.leader_silence_s < _STALE_AFTER_S
 
     def _on_message(self, message: RegistryMessage, source: bytes) -> None:
         body = message.WhichOneof("body")
@@ -390,5 +396,5 @@
         if self.quality:
             dump["quality"] = self.quality.dump()
         if self.node is not None:
-            dump["log"] = dump_log(self.node)
+            dump["log"] = dump_member(self.node)
         return dump
--- a/src/agatethread/control/_routing_metrics.py
+++ b/src/agatethread/control/_routing_metrics.py
@@ -61,7 +61,7 @@
     )
 
 
-def dump_log(node: RaftNode) -> dict[str, Any]:
+def dump_member(node: RaftNode) -> dict[str, Any]:
     """Return the state of a member of the log.
 
     Parameters
--- a/src/agatethread/control/_routing_settings.py
+++ b/src/agatethread/control/_routing_settings.py
@@ -12,8 +12,8 @@
 )
 from agatethread.wire.control_pb2 import ControlMember
 
-#: Handles tables of 1,600 routes. Each entry holds a whole table, so a snapshot is no
-#: larger than one; the entries after it are applied at a start before a table is sent.
+#: The entry count is low, since an entry can hold a whole table, and all entries after
+#: the snapshot are applied at a start before a table is sent.
 DEFAULT_TIMING = ControlSettings(data_dir="", snapshot_entry_count=16)
 
 
@@ -34,7 +34,7 @@
     api : str
         ``IP:port`` where operators reach it.
     seeds : tuple of ControlMember
-        Some control instances; at the first start the first members.
+        Some control instances; at the first start all initial members.
     is_first_start : bool
         Whether the whole system starts for the first time.
     report_interval_s : float
@@ -44,14 +44,17 @@
     data_dir : str
         Data folder.
     listen_host : str, optional
-        IP address to listen at, if other instances' traffic to the advertised one is
-        forwarded to it.
+        IP address to listen at, if it differs from the advertised one, such as behind
+        NAT.
     timing : ControlSettings, optional
-        Timing of the log; its folder and members are not used.
+        Timing and snapshot interval of the log; `data_dir` and `members` of these
+        settings are not used.
     parts : Parts, optional
         Optional parts that the deployment uses.
     policies : Policies, optional
         Policies of the instance.
+    tls : TlsSettings, optional
+        Key files for TLS; None disables it.
     """
 
     name: str
@@ -72,5 +75,5 @@
 
     @property
     def voter_count(self) -> int:
-        """Number of voters that keeps a majority after the losses to be tolerated."""
+        """Number of voters: 2f + 1 for f losses to be tolerated."""
         return 2 * self.losses_borne + 1
--- a/src/agatethread/control/_storage.py
+++ b/src/agatethread/control/_storage.py
@@ -32,7 +32,7 @@
     hard_state: HardState
     snapshot: ControlState
     entries: list[LogEntry]
-    #: Index of a committed entry; later entries may be committed too.
+    #: Lower bound of the commit index; later entries may be committed too.
     commit_index: int = 0
 
 
@@ -49,7 +49,7 @@
 
 
 def _decode_record(data: bytes, offset: int) -> bytes | None:
-    """Return the record at an offset, or None if it is incomplete or corrupt."""
+    """Return the payload of a record, or None if it is incomplete or corrupt."""
     start = offset + HEADER_BYTES
     if start > len(data):
         return None
@@ -64,13 +64,13 @@
 
 
 def _is_torn(data: bytes, offset: int) -> bool:
-    """Return whether a corrupt record is an incomplete last write."""
+    """Return whether a corrupt record is the last one in the file."""
     start = offset + HEADER_BYTES
     if start > len(data):
         return True
     header = _read_header(data, offset)
     if header is None:
-        # The file may have been extended before its contents were written.
+        # After a crash the end of the file may be zeros.
         return not any(data[offset:])
     return start + header[0] >= len(data)
 
@@ -105,7 +105,7 @@
         return self._size_bytes
 
     def recover(self) -> RecoveredState:
-        """Read the files; an incomplete last record is deleted.
+        """Read the files; an incomplete or corrupt last record of the log is deleted.
 
         Returns
         -------
@@ -115,7 +115,7 @@
         Raises
         ------
         LogCorruptError
-            If anything but the last record is corrupt.
+            If anything but the last record of the log is corrupt.
         """
         hard_state = self.read_hard_state()
         snapshot = _parse(ControlState, self._read_record(_SNAPSHOT))
@@ -253,7 +253,8 @@
         Raises
         ------
         DiskFullError
-            If a file could not be written; its old version stays.
+            If a file could not be written; its old version stays, but the snapshot may
+            have been replaced already.
         """
         payload = snapshot.SerializeToString(deterministic=True)
         self._replace_file(_SNAPSHOT, _encode_record(payload))
@@ -357,7 +358,7 @@
         damaged_folder = self._folder / _DAMAGED
         try:
             damaged_folder.mkdir(exist_ok=True)
-            # Hard state first: without it, remaining files don't count as a member's.
+            # Hard state first: without it the disk counts as empty at the next start.
             for name in (_HARD_STATE, _SNAPSHOT, _LOG, _COMMIT):
                 path = self._folder / name
                 if path.exists():
--- a/src/agatethread/control/_vote_state.py
+++ b/src/agatethread/control/_vote_state.py
@@ -8,7 +8,7 @@
 
 
 class VoteState:
-    """Term and vote of a member; each change is written before it takes effect.
+    """Term and vote of a member; both are written to disk before they change in memory.
 
     Parameters
     ----------
@@ -23,9 +23,10 @@
         self._member_name = hard_state.member_name
         self.term = hard_state.term
         self._voted_for = hard_state.voted_for
-        # An empty disk may have lost votes and entries. Until a leader has replicated
-        # to it, it votes only for an empty log, and a candidate with an empty log needs
-        # the vote of every member: a member that holds entries refuses.
+        # A member whose disk is empty may have lost votes and entries. Until a leader
+        # has replicated to it, it grants votes only to candidates with an empty log,
+        # and as a candidate it needs the votes of all voters: one that holds entries
+        # refuses.
         self.may_vote = hard_state.may_vote
 
     def _save(self, term: int, voted_for: str) -> None:
@@ -81,8 +82,8 @@
             self.may_vote = True
             self._save(self.term, self._voted_for)
 
-    def would_vote(self, request: VoteRequest, log_end: LogEnd) -> bool:
-        """Return whether a candidate's log allows a vote for it.
+    def is_log_eligible(self, request: VoteRequest, log_end: LogEnd) -> bool:
+        """Return whether a candidate's log is eligible for this member's vote.
 
         Parameters
         ----------
@@ -94,7 +95,8 @@
         Returns
         -------
         bool
-            Whether the log is up to date and this member may vote for it.
+            Whether it is at least as recent as this member's, and empty if this member
+            may not vote yet.
         """
         is_up_to_date = (request.last_term, request.last_index) >= log_end
         return is_up_to_date and (self.may_vote or request.last_index == 0)
@@ -123,7 +125,7 @@
             return False
         if self._voted_for not in ("", request.candidate):
             return False
-        if not self.would_vote(request, log_end):
+        if not self.is_log_eligible(request, log_end):
             return False
         self._save(self.term, request.candidate)
         return True
--- a/src/agatethread/control/_watch_server.py
+++ b/src/agatethread/control/_watch_server.py
@@ -13,7 +13,8 @@
     WatchUpdate,
 )
 
-#: Longest interval between updates, so that a watcher detects a lost connection.
+#: Longest interval between updates; a watcher without one for longer than its timeout
+#: counts the connection as lost.
 _HEARTBEAT_S = 1.0
 
 
@@ -61,7 +62,8 @@
         Yields
         ------
         WatchUpdate
-            First all documents, then changed ones.
+            First all documents, then changed ones; always all drains and evacuations.
+            Without changes, one is sent every `_HEARTBEAT_S`.
         """
         first = await anext(aiter(requests), None)
         if first is None:
@@ -87,8 +89,7 @@
         while not reader.done():
             wake.clear()
             update = self._update_since(sent_index)
-            # Not the state's index after the yield: changes committed in the meantime
-            # are not in this update.
+            # Read before the yield, during which further changes may be committed.
             sent_index = update.index
             yield update
             try:
@@ -101,7 +102,7 @@
         return WatchUpdate(
             index=self._state.change_index,
             complete=sent_index < 0,
-            documents=[_compact_record(r) for r in records if r.index > sent_index],
+            documents=[_strip_record(r) for r in records if r.index > sent_index],
             drained=sorted(self._state.drained),
             evacuated=self._state.evacuations.failure_domains,
         )
@@ -124,7 +125,7 @@
             status.applied_index = request.applied_index
 
 
-def _compact_record(record: DocumentRecord) -> DocumentRecord:
+def _strip_record(record: DocumentRecord) -> DocumentRecord:
     """Return a record without the fields that only operators read."""
     return DocumentRecord(
         service=record.service,
--- a/tests/control/test_hints.py
+++ b/tests/control/test_hints.py
@@ -50,9 +50,14 @@
         self.assertEqual(saved, [(b"1",), (b"1", b"2")])
 
     async def test_skips_backend_servers_when_disabled(self):
-        """With `saves_runs` off, only the commit index is saved."""
+        """With `saves_registry` off, only the commit index is saved."""
         saver = HintSaver(
-            "folder", self.runs, self.hub, lambda: None, self.spawn, saves_runs=False
+            "folder",
+            self.runs,
+            self.hub,
+            lambda: None,
+            self.spawn,
+            saves_registry=False,
         )
         with mock.patch("agatethread.control._hints.save_hints") as save:
             saver.save()
--- a/tests/control/test_member_changes.py
+++ b/tests/control/test_member_changes.py
@@ -34,7 +34,7 @@
 
 class TestNextMembers(unittest.TestCase):
     def names_after_changes(self, current, joiners=(), silent=(), behind=(), target=3):
-        """Return the names of voters and learners after all changes that follow."""
+        """Return the names of voters and learners after changes until none is due."""
         for _ in range(10):
             progress = {member.name: PRESENT for member in current.members}
             progress |= dict.fromkeys(silent, SILENT) | dict.fromkeys(behind, BEHIND)
@@ -148,7 +148,7 @@
         new = set(voter_names(after)) - self.lost_names
         needed_old = len(voter_names(before)) // 2 + 1
         needed_new = len(voter_names(after)) // 2 + 1
-        # Two majorities share a voter if there are too few voters for disjoint ones.
+        # Any two majorities of these sizes intersect.
         assert needed_old + needed_new > len(old | new), (old, new)
 
     @rule(nth=st.integers(0, 5))
--- a/tests/control/test_member_world.py
+++ b/tests/control/test_member_world.py
@@ -5,17 +5,17 @@
 import unittest
 from pathlib import Path
 
-from agatethread.control._member_name import load_member_name
+from agatethread.control._member_name import load_or_create_member_name
 from agatethread.wire.control_pb2 import ControlState, HardState, Members
 from benchmarks.fuzz_members import fuzz
 
 
 def claim_by_address(storage, target, is_first_start, founders):
-    """Name a disk by its address, as if an empty disk had lost nothing."""
+    """Return the address as name also for an empty disk (the fault to detect)."""
     if not storage.read_hard_state().member_name:
         storage.save_snapshot(ControlState(members=Members(members=founders)), [])
         storage.save_hard_state(HardState(member_name=target, may_vote=True))
-    return load_member_name(storage, target, is_first_start, founders)
+    return load_or_create_member_name(storage, target, is_first_start, founders)
 
 
 def run_in_process(hash_seed):
@@ -46,6 +46,7 @@
 
     def test_loses_no_change_during_replacement(self):
         """A second disk is lost while the replacement of the first is not committed."""
+        # Seeds that reach this case.
         for seed in (195, 38):
             with self.subTest(seed=seed):
                 report = fuzz(seed, steps=600, losses_borne=1)
--- a/tests/control/test_policies.py
+++ b/tests/control/test_policies.py
@@ -12,7 +12,7 @@
 from tests.fakes import address, free_port
 
 
-class TestRoutingControlWithout(unittest.IsolatedAsyncioTestCase):
+class TestDisabledPolicies(unittest.IsolatedAsyncioTestCase):
     """A restarted control instance with one policy disabled."""
 
     def setUp(self):
@@ -60,7 +60,7 @@
         control, greeted, _ = await self.start("greets_known_entries")
         self.assertEqual((len(control.runs), greeted), (1, []))
 
-    async def test_polls_only_without_asks_urgently(self):
+    async def test_starts_no_urgent_timer_without_asks_urgently(self):
         """Without the policy no timer for urgent requests is started."""
         control, greeted, calls = await self.start("asks_urgently")
         self.assertEqual(greeted, [KnownEntry(address(9), "a")])
--- a/tests/control/test_raft.py
+++ b/tests/control/test_raft.py
@@ -223,8 +223,8 @@
         with mock.patch("os.fsync"):
             self.run_world(scenario)
 
-    def test_failed_candidate_votes_for_newer_log(self):
-        """A member that just lost an election grants a pre-vote to a newer log."""
+    def test_votes_for_newer_log_after_failed_pre_vote(self):
+        """A member whose own pre-vote failed grants a pre-vote to a newer log."""
 
         async def scenario(world):
             leader = self.leader(world)
@@ -268,8 +268,8 @@
             asyncio.run(run_election(folder))
         self.assertEqual(requested_names, names[1:])
 
-    def test_detects_votes_from_lost_disk(self):
-        """Two lost disks elect no leader; without the rules for lost disks, they do."""
+    def test_members_with_lost_disks_elect_no_leader(self):
+        """Two members with lost disks elect no leader; without these rules they do."""
 
         async def scenario(world):
             leader = self.leader(world)
@@ -289,14 +289,14 @@
         self.assertEqual(self.run_world(scenario), [])
         unchecked_votes = mock.patch.object(
             VoteState,
-            "would_vote",
+            "is_log_eligible",
             lambda _, request, end: (request.last_term, request.last_index) >= end,
         )
         unchanged_vote_right = mock.patch.object(
             VoteState, "enable_voting", lambda *_: None
         )
         plain_majority = mock.patch.object(
-            RaftNode, "_votes_needed", property(lambda node: node._majority)
+            RaftNode, "_votes_needed", property(lambda node: node._majority_count)
         )
         with unchecked_votes, unchanged_vote_right, plain_majority:
             self.assertTrue(self.run_world(scenario))
--- a/tests/control/test_replicated_state.py
+++ b/tests/control/test_replicated_state.py
@@ -4,7 +4,7 @@
 from agatethread.control._replicated_state import (
     MAX_EVACUATED_DOMAINS,
     check_command,
-    find_name_error,
+    find_domain_name_error,
 )
 from agatethread.wire.control_pb2 import (
     Command,
@@ -35,7 +35,7 @@
         return self.state.apply(index, 1, command.SerializeToString())
 
     def test_rejects_second_change_with_equal_version(self):
-        """The second of two changes with equal versions gets the id of the first."""
+        """The second change with an equal version is rejected, with the first's id."""
         self.assertTrue(self.apply(put(1, "first")).accepted)
         second = self.apply(put(1, "second"))
         self.assertFalse(second.accepted)
@@ -133,9 +133,9 @@
     def test_validates_failure_domain_name(self):
         """Any valid name is accepted, also that of an unknown failure domain."""
         for name in ("hall-a", "køge", "x" * 255):
-            self.assertEqual(find_name_error(name), "")
+            self.assertEqual(find_domain_name_error(name), "")
         for name in ("", "hall a", "a/b", "a\n", "x" * 256, "\x00"):
-            self.assertNotEqual(find_name_error(name), "", name)
+            self.assertNotEqual(find_domain_name_error(name), "", name)
         command = evacuate("")
         command.change_id = "x"
         self.assertIn("name", check_command(command))
--- a/tests/control/test_routing_control.py
+++ b/tests/control/test_routing_control.py
@@ -252,12 +252,12 @@
         await fleet.put(document(1))
         await fleet.evacuate("hall-a")
         for version in range(2, 16):
-            # More entries than the log holds before a snapshot replaces them.
+            # Together more entries than `snapshot_entry_count`.
             await fleet.put(document(version))
         leader = next(
             number
             for number, control in fleet.running.items()
-            if not control.orders.get_leader_api()
+            if not control.orders.get_leader_api_address()
         )
         await fleet.kill(leader)
         fleet.lose_disk(leader)
