--- a/src/agatethread/control/_membership.py
+++ b/src/agatethread/control/_membership.py
@@ -1,4 +1,7 @@
-"""Joins the log and, on the leader, changes its members."""
+"""Joins the log and, on the leader, changes its members.
+
+These are control instances; they are unrelated to `agatethread.membership`.
+"""
 
 import asyncio
 from collections.abc import Callable, Coroutine
--- a/src/agatethread/control/_orders.py
+++ b/src/agatethread/control/_orders.py
@@ -1,7 +1,7 @@
 """Operators' requests to a control instance: routing tables and evacuations.
 
 Each request is committed in the log as a command before it is acknowledged. Until then
-an operator may send it again to any control instance.
+its outcome is unknown, and an operator may send it again to any control instance.
 """
 
 import asyncio
--- a/src/agatethread/control/_raft.py
+++ b/src/agatethread/control/_raft.py
@@ -89,7 +89,7 @@
         self._connect = connect
         self._now_s = now_s
         self._random = random.Random(seed)
-        self.documents = ReplicatedState()
+        self.documents = ReplicatedState()  # also routes, members and drains
         self.role = Role.FOLLOWER
         self.leader = ""
         self._recover()
@@ -588,7 +588,7 @@
         Parameters
         ----------
         members : Members
-            The new members; at most one voter is added, removed or replaced.
+            The new members; one voter at most is added, removed or replaced.
 
         Returns
         -------
--- a/src/agatethread/control/_routing_settings.py
+++ b/src/agatethread/control/_routing_settings.py
@@ -28,7 +28,7 @@
     failure_domain : str
         Failure domain of the instance.
     target : str
-        ``IP:port`` where other control instances reach it.
+        ``IP:port`` where other control instances reach its Raft service.
     registry : str
         ``IP:port`` of its registry socket.
     api : str
--- a/src/agatethread/control/_storage.py
+++ b/src/agatethread/control/_storage.py
@@ -85,6 +85,8 @@
 class LogStorage:
     """Files of one control instance under its data folder.
 
+    `DiskFullError` does not imply a full disk; other failed writes raise it too.
+
     Parameters
     ----------
     data_dir : str
--- a/src/agatethread/control/_vote_state.py
+++ b/src/agatethread/control/_vote_state.py
@@ -76,7 +76,7 @@
         Raises
         ------
         DiskFullError
-            If it could not be written.
+            If it could not be written; `may_vote` is set in memory only.
         """
         if not self.may_vote:
             self.may_vote = True
--- a/src/agatethread/control/_watch_server.py
+++ b/src/agatethread/control/_watch_server.py
@@ -55,7 +55,8 @@
         Parameters
         ----------
         requests : async iterator of WatchRequest
-            The watcher's first request and its acknowledgements.
+            The watcher's first request, then its acknowledgements, which have the same
+            message type.
         context : grpc.aio.ServicerContext
             The call.
 
