--- a/src/agatethread/balancing/_quality_records.py
+++ b/src/agatethread/balancing/_quality_records.py
@@ -84,8 +84,8 @@
     observers : int
         Entry instances that observed a bad answer; others are not counted.
     domains : int
-        Failure domains with enough answers to judge by: at least `_DOMAIN_ANSWERS` of
-        `agatethread.registry._answers`.
+        Failure domains with enough answers to judge by: at least `_DOMAIN_MIN_ANSWERS`
+        of `agatethread.registry._answers`.
     bad_domains : int
         Failure domains that observed a bad answer.
     """
